--- a/source/core/entry/admin_api.cpp
+++ b/source/core/entry/admin_api.cpp
@@ -19,24 +19,24 @@
 constexpr std::string_view admin_prefix = "/admin/v1/";
 constexpr std::string_view explain_prefix = "explain/";
 constexpr std::string_view bearer_prefix = "Bearer ";
-constexpr std::size_t deepest_json = 32;
+constexpr std::size_t max_json_depth = 32;
 
 /// The way back to one operator.
 struct operator_call {
     common::request_id id;
     common::time_point now;
-    std::shared_ptr<http::responder> out;
+    std::shared_ptr<http::responder> responder;
 
     auto send(const common::result<std::string>& answer) const -> void
     {
         if (!answer) {
-            this->out->send(problem_answer(answer.error(), this->id, this->now));
+            this->responder->send(problem_response(answer.error(), this->id, this->now));
             return;
         }
-        auto response = json_answer(200, *answer);
+        auto response = json_response(200, *answer);
         response.headers.push_back(
             {std::string(header_names::request_id), common::to_string(this->id)});
-        this->out->send(std::move(response));
+        this->responder->send(std::move(response));
     }
 
     auto fail(common::result_code code, std::string detail = {}) const -> void
@@ -48,7 +48,7 @@
 auto read_version(const std::string& body) -> common::result<common::version_id>
 {
     json::parse_options options;
-    options.max_depth = deepest_json;
+    options.max_depth = max_json_depth;
     json::error_code failed;
     const auto value = json::parse(body, failed, {}, options);
     if (failed || !value.is_object()) {
@@ -80,7 +80,7 @@
 
 using text_hook = std::function<auto()->common::result<std::string>>;
 
-auto answer_text(const text_hook& hook, const operator_call& call) -> void
+auto response_text(const text_hook& hook, const operator_call& call) -> void
 {
     if (!hook) {
         call.fail(common::result_code::not_found);
@@ -92,13 +92,13 @@
 auto handle_get(const admin_hooks& hooks, std::string_view path, const operator_call& call) -> void
 {
     if (path == "state") {
-        answer_text(hooks.state, call);
+        response_text(hooks.state, call);
     }
     else if (path == "history") {
-        answer_text(hooks.history, call);
+        response_text(hooks.history, call);
     }
     else if (path == "status") {
-        answer_text(hooks.status, call);
+        response_text(hooks.status, call);
     }
     else if (path == "bills" && hooks.bills) {
         hooks.bills([call](const common::result<std::string>& answer) { call.send(answer); });
@@ -142,9 +142,9 @@
 {
 }
 
-auto admin_api::allowed(const http::request& asked) const -> bool
+auto admin_api::allowed(const http::request& request) const -> bool
 {
-    const auto given = http::find_header(asked.headers, header_names::authorization);
+    const auto given = http::find_header(request.headers, header_names::authorization);
     if (!given || !given->starts_with(bearer_prefix)) {
         return false;
     }
@@ -159,23 +159,23 @@
 }
 
 auto admin_api::handle(
-    const http::request& asked,
+    const http::request& request,
     const common::request_id& id,
     common::time_point now,
-    const std::shared_ptr<http::responder>& out) const -> void
+    const std::shared_ptr<http::responder>& responder) const -> void
 {
-    const operator_call call{id, now, out};
-    if (!this->allowed(asked)) {
+    const operator_call call{id, now, responder};
+    if (!this->allowed(request)) {
         call.fail(common::result_code::operator_not_allowed);
         return;
     }
-    auto path = std::string_view(asked.target).substr(admin_prefix.size());
+    auto path = std::string_view(request.target).substr(admin_prefix.size());
     path = path.substr(0, path.find('?'));
-    if (asked.method == "GET") {
+    if (request.method == "GET") {
         handle_get(this->hooks, path, call);
     }
-    else if (asked.method == "POST") {
-        handle_post(this->hooks, path, asked.body, call);
+    else if (request.method == "POST") {
+        handle_post(this->hooks, path, request.body, call);
     }
     else {
         call.fail(common::result_code::method_not_allowed);
--- a/source/core/entry/attempt_outcome.cpp
+++ b/source/core/entry/attempt_outcome.cpp
@@ -11,30 +11,30 @@
 using outcome = common::result<messages::outcome_answer>;
 
 /// Nobody can tell, or not in time.
-auto stay_unknown(const exchange_ptr& item) -> void
+auto fail_as_unknown(const exchange_ptr& item) -> void
 {
-    item->attempt.ask_until = item->context->parts.now();
-    lose_attempt(item, attempt_fate::unknown, item->attempt.lost);
+    item->attempt.query_until = item->context->hooks.now();
+    fail_attempt(item, attempt_failure::unknown, item->attempt.loss_reason);
 }
 
-auto ask_later(const exchange_ptr& item) -> void
+auto schedule_outcome_query(const exchange_ptr& item) -> void
 {
     const auto& context = *item->context;
-    const auto when = context.parts.now() + context.options.ask_interval;
-    if (when >= item->attempt.ask_until) {
-        stay_unknown(item);
+    const auto when = context.hooks.now() + context.options.outcome_query_interval;
+    if (when >= item->attempt.query_until) {
+        fail_as_unknown(item);
         return;
     }
-    context.parts.timer(
+    context.hooks.timer(
         when, [weak = std::weak_ptr<exchange>(item), number = item->attempt.number] {
             const auto self = weak.lock();
             if (!self) {
                 return;
             }
             post(self, [number](const exchange_ptr& again) {
-                const auto is_asking = again->attempt.phase == attempt_phase::asking;
-                if (!again->ended && is_asking && again->attempt.number == number) {
-                    ask_outcome(again);
+                const auto is_querying = again->attempt.phase == attempt_phase::querying_outcome;
+                if (!again->ended && is_querying && again->attempt.number == number) {
+                    query_outcome(again);
                 }
             });
         });
@@ -42,67 +42,67 @@
 
 /// The agent did not answer. A request that may run twice does not wait for it. One that may not
 /// is asked about until the deadline, unless the agent that knew is gone for good.
-auto miss_outcome(const exchange_ptr& item, const common::error& why) -> void
+auto on_outcome_unavailable(const exchange_ptr& item, const common::error& why) -> void
 {
     const auto is_gone = why.code == common::result_code::wrong_incarnation ||
                          why.code == common::result_code::not_found;
     if (is_gone || item->repeat == messages::repeat_rule::idempotent) {
-        stay_unknown(item);
+        fail_as_unknown(item);
         return;
     }
-    ask_later(item);
+    schedule_outcome_query(item);
 }
 
-auto take_kept(const exchange_ptr& item, messages::outcome_answer answer) -> void
+auto on_outcome_finished(const exchange_ptr& item, messages::outcome_answer answer) -> void
 {
     if (answer.finished && (!answer.finished->body.empty() || !item->chat.stream)) {
-        take_finished(item, std::move(*answer.finished));
+        complete_attempt(item, std::move(*answer.finished));
         return;
     }
     add_bill_line(*item, answer.used);
-    auto why = item->attempt.lost;
+    auto why = item->attempt.loss_reason;
     why.run = common::execution::ran;
     why.detail = "it ran, and its answer is lost";
-    lose_attempt(item, attempt_fate::failed, std::move(why));
+    fail_attempt(item, attempt_failure::failed, std::move(why));
 }
 
 /// Why the attempt ended, as its agent recorded it. An agent that loses the connection to its entry
 /// takes the caller for gone and cancels. This caller is still there: the reason is the loss, after
 /// which the request may be tried elsewhere; "cancelled" would be its end.
-auto reason_of(const exchange& item, const messages::outcome_answer& answer) -> common::error
+auto failure_reason(const exchange& item, const messages::outcome_answer& answer) -> common::error
 {
     const auto is_cancelled = answer.why && answer.why->code == common::result_code::cancelled;
-    return answer.why && !is_cancelled ? *answer.why : item.attempt.lost;
+    return answer.why && !is_cancelled ? *answer.why : item.attempt.loss_reason;
 }
 
-auto take_outcome(const exchange_ptr& item, messages::outcome_answer answer) -> void
+auto apply_outcome(const exchange_ptr& item, messages::outcome_answer answer) -> void
 {
     switch (answer.state) {
     case messages::outcome_state::refused: {
-        auto why = reason_of(*item, answer);
+        auto why = failure_reason(*item, answer);
         why.run = common::execution::not_run;
-        lose_attempt(item, attempt_fate::refused, std::move(why));
+        fail_attempt(item, attempt_failure::refused, std::move(why));
         return;
     }
     case messages::outcome_state::finished:
-        take_kept(item, std::move(answer));
+        on_outcome_finished(item, std::move(answer));
         return;
     case messages::outcome_state::failed: {
         add_bill_line(*item, answer.used);
-        auto why = reason_of(*item, answer);
+        auto why = failure_reason(*item, answer);
         why.run = common::execution::ran;
-        lose_attempt(item, attempt_fate::failed, std::move(why));
+        fail_attempt(item, attempt_failure::failed, std::move(why));
         return;
     }
     case messages::outcome_state::unknown:
     case messages::outcome_state::queued:
     case messages::outcome_state::running:
-        ask_later(item);
+        schedule_outcome_query(item);
         return;
     }
 }
 
-auto finish_settling(
+auto finish_settlement(
     const exchange_ptr& item,
     const outcome& answer,
     common::result_code code,
@@ -115,39 +115,40 @@
     const auto is_known = answer && (answer->state == messages::outcome_state::finished ||
                                      answer->state == messages::outcome_state::failed);
     if (!was_refused) {
-        add_bill_line(*item, is_known ? answer->used : seen_usage(*item));
+        add_bill_line(*item, is_known ? answer->used : observed_usage(*item));
     }
     item->attempt.phase = attempt_phase::none;
-    report_end(*item, attempt_end::cancelled, code);
+    report_attempt_end(*item, attempt_end::cancelled, code);
     end_exchange(item, code, run);
 }
 
 } // namespace
 
-auto ask_outcome(const exchange_ptr& item) -> void
+auto query_outcome(const exchange_ptr& item) -> void
 {
-    item->attempt.phase = attempt_phase::asking;
+    item->attempt.phase = attempt_phase::querying_outcome;
     item->attempt.handle.reset();
-    item->context->parts.agents.ask(
-        item->placed.address,
+    item->context->hooks.agents.ask(
+        item->placement.address,
         {item->attempt.key, true},
         [item, number = item->attempt.number](outcome answer) {
             post(item, [number, answer = std::move(answer)](const exchange_ptr& self) mutable {
-                const auto is_present =
-                    self->attempt.phase == attempt_phase::asking && self->attempt.number == number;
+                const auto is_present = self->attempt.phase == attempt_phase::querying_outcome &&
+                                        self->attempt.number == number;
                 if (self->ended || !is_present) {
                     return;
                 }
                 if (!answer) {
-                    miss_outcome(self, answer.error());
+                    on_outcome_unavailable(self, answer.error());
                     return;
                 }
-                take_outcome(self, std::move(*answer));
+                apply_outcome(self, std::move(*answer));
             });
         });
 }
 
-auto settle(const exchange_ptr& item, common::result_code code, common::execution run) -> void
+auto settle_attempt(const exchange_ptr& item, common::result_code code, common::execution run)
+    -> void
 {
     const auto& context = *item->context;
     item->attempt.phase = attempt_phase::settling;
@@ -157,11 +158,11 @@
     }
     const auto finish = [item, code, run](outcome answer) {
         post(item, [code, run, answer = std::move(answer)](const exchange_ptr& self) {
-            finish_settling(self, answer, code, run);
+            finish_settlement(self, answer, code, run);
         });
     };
-    context.parts.agents.ask(item->placed.address, {item->attempt.key, true}, finish);
-    context.parts.timer(context.parts.now() + context.options.ask_limit, [finish] {
+    context.hooks.agents.ask(item->placement.address, {item->attempt.key, true}, finish);
+    context.hooks.timer(context.hooks.now() + context.options.outcome_query_timeout, [finish] {
         finish(common::failure(common::result_code::peer_unavailable));
     });
 }
--- a/source/core/entry/caller_headers.cpp
+++ b/source/core/entry/caller_headers.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-constexpr std::size_t longest_key = 200;
-constexpr std::size_t longest_task = 64;
+constexpr std::size_t max_key_length = 200;
+constexpr std::size_t max_task_length = 64;
 constexpr std::string_view bearer_prefix = "Bearer ";
 
-auto lower(char letter) -> char
+auto lower(char character) -> char
 {
-    return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
+    return character >= 'A' && character <= 'Z' ? static_cast<char>(character - 'A' + 'a')
+                                                : character;
 }
 
-auto same_name(std::string_view left, std::string_view right) -> bool
+auto equal_ignoring_case(std::string_view left, std::string_view right) -> bool
 {
     return std::equal(left.begin(), left.end(), right.begin(), right.end(), [](char a, char b) {
         return lower(a) == lower(b);
@@ -31,12 +32,12 @@
 
 using header_value = std::optional<std::string_view>;
 
-auto single(const std::vector<http::header>& headers, std::string_view name)
+auto find_single_header(const std::vector<http::header>& headers, std::string_view name)
     -> common::result<header_value>
 {
     header_value found;
     for (const auto& item : headers) {
-        if (!same_name(item.name, name)) {
+        if (!equal_ignoring_case(item.name, name)) {
             continue;
         }
         if (found) {
@@ -47,21 +48,21 @@
     return found;
 }
 
-auto is_visible(char letter) -> bool
+auto is_visible(char character) -> bool
 {
-    return letter > ' ' && letter <= '~';
+    return character > ' ' && character <= '~';
 }
 
-auto is_task_letter(char letter) -> bool
+auto is_task_character(char character) -> bool
 {
-    const auto small = lower(letter);
+    const auto small = lower(character);
     return (small >= 'a' && small <= 'z') || (small >= '0' && small <= '9') || small == '-' ||
            small == '_' || small == '.';
 }
 
 auto read_bearer(const std::vector<http::header>& headers) -> common::result<std::string>
 {
-    const auto value = single(headers, header_names::authorization);
+    const auto value = find_single_header(headers, header_names::authorization);
     if (!value) {
         return tl::unexpected(value.error());
     }
@@ -69,7 +70,7 @@
         return std::string();
     }
     const auto text = **value;
-    if (!same_name(text.substr(0, bearer_prefix.size()), bearer_prefix)) {
+    if (!equal_ignoring_case(text.substr(0, bearer_prefix.size()), bearer_prefix)) {
         return common::failure(
             common::result_code::unauthenticated, "Authorization: not a bearer token");
     }
@@ -79,7 +80,7 @@
 auto read_key(const std::vector<http::header>& headers)
     -> common::result<std::optional<std::string>>
 {
-    const auto value = single(headers, header_names::idempotency_key);
+    const auto value = find_single_header(headers, header_names::idempotency_key);
     if (!value) {
         return tl::unexpected(value.error());
     }
@@ -87,7 +88,7 @@
         return std::optional<std::string>();
     }
     const auto text = **value;
-    if (text.empty() || text.size() > longest_key ||
+    if (text.empty() || text.size() > max_key_length ||
         !std::all_of(text.begin(), text.end(), is_visible)) {
         return bad_header(header_names::idempotency_key, "not 1 to 200 visible ASCII characters");
     }
@@ -97,7 +98,7 @@
 auto read_session(const std::vector<http::header>& headers)
     -> common::result<std::optional<std::string>>
 {
-    const auto value = single(headers, header_names::session);
+    const auto value = find_single_header(headers, header_names::session);
     if (!value) {
         return tl::unexpected(value.error());
     }
@@ -109,7 +110,7 @@
 
 auto read_task(const std::vector<http::header>& headers) -> common::result<common::task_name>
 {
-    const auto value = single(headers, header_names::task);
+    const auto value = find_single_header(headers, header_names::task);
     if (!value) {
         return tl::unexpected(value.error());
     }
@@ -117,22 +118,22 @@
         return common::task_name();
     }
     const auto text = **value;
-    if (text.empty() || text.size() > longest_task ||
-        !std::all_of(text.begin(), text.end(), is_task_letter)) {
+    if (text.empty() || text.size() > max_task_length ||
+        !std::all_of(text.begin(), text.end(), is_task_character)) {
         return bad_header(header_names::task, "not 1 to 64 letters, digits, '-', '_' or '.'");
     }
     return common::task_name(std::string(text));
 }
 
-auto read_time(const std::vector<http::header>& headers, const header_rules& rules)
+auto read_timeout(const std::vector<http::header>& headers, const header_rules& rules)
     -> common::result<common::duration>
 {
-    const auto value = single(headers, header_names::deadline);
+    const auto value = find_single_header(headers, header_names::deadline);
     if (!value) {
         return tl::unexpected(value.error());
     }
     if (!*value) {
-        return rules.default_time;
+        return rules.default_timeout;
     }
     const auto text = **value;
     std::uint32_t milliseconds = 0;
@@ -141,7 +142,7 @@
     if (parsed.ec != std::errc() || parsed.ptr != end || milliseconds == 0) {
         return bad_header(header_names::deadline, "not a positive whole number of milliseconds");
     }
-    return std::min<common::duration>(std::chrono::milliseconds(milliseconds), rules.longest_time);
+    return std::min<common::duration>(std::chrono::milliseconds(milliseconds), rules.max_timeout);
 }
 
 } // namespace
@@ -165,7 +166,7 @@
     if (!task) {
         return tl::unexpected(std::move(task.error()));
     }
-    const auto time = read_time(headers, rules);
+    const auto time = read_timeout(headers, rules);
     if (!time) {
         return tl::unexpected(time.error());
     }
--- a/source/core/entry/callers_api.hpp
+++ b/source/core/entry/callers_api.hpp
@@ -60,12 +60,12 @@
     std::optional<std::string> idempotency_key;
     std::optional<std::string> session_token;
     common::task_name task;
-    common::duration time_allowed{};
+    common::duration timeout{};
 };
 
 struct header_rules {
-    common::duration default_time = std::chrono::seconds(30);
-    common::duration longest_time = std::chrono::minutes(10);
+    common::duration default_timeout = std::chrono::seconds(30);
+    common::duration max_timeout = std::chrono::minutes(10);
 };
 
 /// Errors: `bad_header`. A header that stands twice is an error, since two programs might each
@@ -104,7 +104,7 @@
 
 /// A problem+json answer (RFC 9457) with our code, name, execution and the request id.
 /// `Retry-After` is whole seconds, at least 1, when the error knows a time.
-auto problem_answer(
+auto problem_response(
     const common::error& why, const common::request_id& request, common::time_point now)
     -> http::response;
 
@@ -117,16 +117,16 @@
     std::string kind;
 };
 
-auto models_answer(const std::vector<listed_model>& models) -> http::response;
+auto models_response(const std::vector<listed_model>& models) -> http::response;
 
-auto session_answer(
+auto session_response(
     std::string_view token,
     const common::session_id& session,
     const common::version_id& version,
     common::wall_time_ms expires) -> http::response;
 
-auto json_answer(std::uint16_t status, std::string body) -> http::response;
-auto text_answer(std::uint16_t status, std::string body) -> http::response;
+auto json_response(std::uint16_t status, std::string body) -> http::response;
+auto text_response(std::uint16_t status, std::string body) -> http::response;
 
 /// Writes the events of one streamed chat answer.
 class sse_writer {
@@ -138,16 +138,16 @@
         common::wall_time_ms created);
 
     /// One event with a piece of text.
-    [[nodiscard]] auto piece(std::string_view text) const -> std::string;
+    [[nodiscard]] auto chunk(std::string_view text) const -> std::string;
 
     /// The last events: finish reason, usage if wanted, "[DONE]".
     [[nodiscard]] auto
-    ending(std::string_view finish_reason, const std::optional<messages::usage>& used) const
+    final_events(std::string_view finish_reason, const std::optional<messages::usage>& used) const
         -> std::string;
 
     /// An explicit error event. No "[DONE]" follows, so that the answer never seems whole.
-    [[nodiscard]] static auto broken(const common::error& why, const common::request_id& request)
-        -> std::string;
+    [[nodiscard]] static auto
+    error_event(const common::error& why, const common::request_id& request) -> std::string;
 
 private:
     /// Start of each event up to the choices.
--- a/source/core/entry/chat_request.cpp
+++ b/source/core/entry/chat_request.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr std::size_t deepest_json = 32;
-constexpr std::size_t longest_name = 128;
+constexpr std::size_t max_json_depth = 32;
+constexpr std::size_t max_name_bytes = 128;
 constexpr std::uint64_t default_max_tokens = 512;
-constexpr std::uint64_t largest_max_tokens = 131'072;
+constexpr std::uint64_t max_tokens_limit = 131'072;
 /// Of English text and usual tokenizers; only limits and queues use the guess.
-constexpr std::size_t letters_per_token = 4;
+constexpr std::size_t bytes_per_token = 4;
 /// Servers cache prefixes in blocks; the first part of a conversation is what requests share.
-constexpr std::size_t prefix_letters = 2048;
-constexpr std::size_t longest_question = 4096;
-constexpr std::int64_t highest_priority = 100;
+constexpr std::size_t prefix_hash_bytes = 2048;
+constexpr std::size_t max_question_bytes = 4096;
+constexpr std::int64_t max_priority = 100;
 
 auto bad(std::string_view why)
 {
@@ -31,7 +31,7 @@
 auto parse_object(std::string_view body) -> common::result<json::object>
 {
     json::parse_options options;
-    options.max_depth = deepest_json;
+    options.max_depth = max_json_depth;
     json::error_code failed;
     auto value = json::parse(json::string_view(body.data(), body.size()), failed, {}, options);
     if (failed) {
@@ -50,7 +50,7 @@
         return bad(std::string(key) + ": a string is required");
     }
     const auto& text = value->as_string();
-    if (text.empty() || text.size() > longest_name) {
+    if (text.empty() || text.size() > max_name_bytes) {
         return bad(std::string(key) + ": 1 to 128 bytes are allowed");
     }
     return std::string(text.data(), text.size());
@@ -68,7 +68,7 @@
     return value->as_bool();
 }
 
-auto read_whole(
+auto read_integer(
     const json::object& from,
     const char* key,
     std::int64_t missing,
@@ -136,9 +136,9 @@
         }
         text.push_back('\n');
     }
-    into.prompt_tokens = common::token_count(text.size() / letters_per_token + 1);
-    into.prefix_hash = XXH3_64bits(text.data(), std::min(text.size(), prefix_letters));
-    into.question = text.substr(last_start, longest_question);
+    into.prompt_tokens = common::token_count(text.size() / bytes_per_token + 1);
+    into.prefix_hash = XXH3_64bits(text.data(), std::min(text.size(), prefix_hash_bytes));
+    into.question = text.substr(last_start, max_question_bytes);
     return {};
 }
 
@@ -169,7 +169,7 @@
 {
     std::int64_t smallest = 0;
     for (const auto* key : {"max_tokens", "max_completion_tokens"}) {
-        const auto found = read_whole(from, key, 0, 1, largest_max_tokens);
+        const auto found = read_integer(from, key, 0, 1, max_tokens_limit);
         if (!found) {
             return tl::unexpected(found.error());
         }
@@ -203,7 +203,7 @@
         return tl::unexpected(max_tokens.error());
     }
     into.max_tokens = *max_tokens;
-    const auto priority = read_whole(*object, "priority", 0, -highest_priority, highest_priority);
+    const auto priority = read_integer(*object, "priority", 0, -max_priority, max_priority);
     if (!priority) {
         return tl::unexpected(priority.error());
     }
--- a/source/core/entry/context.cpp
+++ b/source/core/entry/context.cpp
@@ -4,7 +4,7 @@
 
 namespace reedramp::entry {
 
-auto counters::count_refusal(common::result_code code) -> void
+auto atomic_counters::count_refusal(common::result_code code) -> void
 {
     const auto index = static_cast<std::size_t>(code);
     if (index < code_limit) {
@@ -12,12 +12,12 @@
     }
 }
 
-auto counters::count_version(const common::version_id& version) -> void
+auto atomic_counters::count_version(const common::version_id& version) -> void
 {
     this->versions.with_shard(version, [&version](auto& entries) { ++entries[version]; });
 }
 
-auto counters::read(std::size_t in_flight) -> core_counters
+auto atomic_counters::snapshot(std::size_t in_flight) -> core_counters
 {
     core_counters result;
     result.in_flight = in_flight;
@@ -25,7 +25,7 @@
     result.retries = this->retries.load();
     result.continued_streams = this->continued_streams.load();
     result.late_events = this->late_events.load();
-    result.cut_by_shutdown = this->cut_by_shutdown.load();
+    result.aborted_by_shutdown = this->aborted_by_shutdown.load();
     for (std::size_t code = 0; code < code_limit; ++code) {
         const auto count = this->refusals[code].load(std::memory_order_relaxed);
         if (count > 0) {
@@ -103,8 +103,8 @@
     }
 }
 
-core_context::core_context(core_options wanted, collaborators hooks, admin_api operators)
-    : options(wanted), parts(std::move(hooks)), admin(std::move(operators)),
+core_context::core_context(core_options wanted, core_hooks given, admin_api operators)
+    : options(wanted), hooks(std::move(given)), admin(std::move(operators)),
       decisions(wanted.decision_limit), budget(wanted.retries), work_chain(
                                                                     {make_authenticate(),
                                                                      make_organisation_rules(),
--- a/source/core/entry/context.hpp
+++ b/source/core/entry/context.hpp
@@ -11,8 +11,8 @@
 #include <utility>
 
 #include "common/sharded_map.hpp"
-#include "entry/collaborators.hpp"
 #include "entry/core.hpp"
+#include "entry/core_hooks.hpp"
 #include "entry/decisions.hpp"
 #include "entry/exchange.hpp"
 #include "entry/filter.hpp"
@@ -21,17 +21,17 @@
 namespace reedramp::entry {
 
 /// Counts for metrics and status.
-class counters {
+class atomic_counters {
 public:
     std::atomic<std::uint64_t> answered{0};
     std::atomic<std::uint64_t> retries{0};
     std::atomic<std::uint64_t> continued_streams{0};
     std::atomic<std::uint64_t> late_events{0};
-    std::atomic<std::uint64_t> cut_by_shutdown{0};
+    std::atomic<std::uint64_t> aborted_by_shutdown{0};
 
     auto count_refusal(common::result_code code) -> void;
     auto count_version(const common::version_id& version) -> void;
-    [[nodiscard]] auto read(std::size_t in_flight) -> core_counters;
+    [[nodiscard]] auto snapshot(std::size_t in_flight) -> core_counters;
 
 private:
     static constexpr std::size_t code_limit = 1000;
@@ -76,24 +76,24 @@
 /// What all requests of one core share.
 class core_context {
 public:
-    core_context(core_options wanted, collaborators hooks, admin_api operators);
+    core_context(core_options wanted, core_hooks given, admin_api operators);
 
     core_options options;
-    collaborators parts;
+    core_hooks hooks;
     admin_api admin;
     decision_ring decisions;
     placement::retry_budget budget;
-    counters counted;
+    atomic_counters counters;
     request_registry requests;
     const filter_chain work_chain;
     const filter_chain models_chain;
     const filter_chain session_chain;
     /// Not ready any more; what comes on open connections is still served.
-    std::atomic<bool> leaving{false};
+    std::atomic<bool> is_draining{false};
     /// The shutdown's deadline has passed.
-    std::atomic<bool> closed{false};
+    std::atomic<bool> is_closed{false};
     /// Called when a request has ended while the process is leaving.
-    std::function<auto()->void> request_ended;
+    std::function<auto()->void> on_request_ended;
 };
 
 } // namespace reedramp::entry
--- a/source/core/entry/core.cpp
+++ b/source/core/entry/core.cpp
@@ -15,8 +15,8 @@
 
 class core_impl final : public core, public std::enable_shared_from_this<core_impl> {
 public:
-    core_impl(core_options options, collaborators parts, admin_api admin)
-        : context(std::make_shared<core_context>(options, std::move(parts), std::move(admin)))
+    core_impl(core_options options, core_hooks hooks, admin_api admin)
+        : context(std::make_shared<core_context>(options, std::move(hooks), std::move(admin)))
     {
     }
 
@@ -39,29 +39,31 @@
         this->arm_tick();
     }
 
-    auto handle(http::request asked, std::shared_ptr<http::responder> out) -> void override;
+    auto handle(http::request request, std::shared_ptr<http::responder> responder) -> void override;
 
     auto shut_down(common::time_point deadline, std::function<auto(std::size_t cut)->void> done)
         -> void override;
 
     [[nodiscard]] auto ready() const -> bool override
     {
-        const auto& parts = this->context->parts;
-        const auto state = parts.snapshot();
+        const auto& hooks = this->context->hooks;
+        const auto state = hooks.snapshot();
         const auto has_state = state != nullptr && state->offset.value() > 0;
-        const auto knows_servers = !parts.knows_servers || parts.knows_servers();
-        return !this->context->leaving && has_state && knows_servers && parts.accepts_bills();
+        const auto knows_servers = !hooks.knows_servers || hooks.knows_servers();
+        return !this->context->is_draining && has_state && knows_servers && hooks.accepts_bills();
     }
 
     [[nodiscard]] auto counters() const -> core_counters override
     {
-        return this->context->counted.read(this->context->requests.size());
+        return this->context->counters.snapshot(this->context->requests.size());
     }
 
 private:
     auto arm_tick() -> void;
-    auto answer_health(route_kind kind, const std::shared_ptr<http::responder>& out) const -> void;
-    auto begin(http::request asked, std::shared_ptr<http::responder> out, route where) -> void;
+    auto respond_health(route_kind kind, const std::shared_ptr<http::responder>& responder) const
+        -> void;
+    auto begin(http::request request, std::shared_ptr<http::responder> responder, route matched)
+        -> void;
     auto read_request(exchange& item) const -> common::result<void>;
     auto start_chain(const exchange_ptr& item) -> void;
     auto finish_shutdown() -> void;
@@ -70,64 +72,65 @@
 
     std::mutex lock;
     /// Set while a shutdown is under way.
-    std::function<auto(std::size_t cut)->void> when_empty;
+    std::function<auto(std::size_t cut)->void> on_drained;
 };
 
 auto core_impl::arm_tick() -> void
 {
-    const auto& parts = this->context->parts;
-    parts.timer(
-        parts.now() + this->context->options.tick,
+    const auto& hooks = this->context->hooks;
+    hooks.timer(
+        hooks.now() + this->context->options.tick,
         [weak = std::weak_ptr<core_impl>(this->shared_from_this())] {
             const auto self = weak.lock();
             if (!self) {
                 return;
             }
-            const auto now = self->context->parts.now();
+            const auto now = self->context->hooks.now();
             for (const auto& item : self->context->requests.take_overdue(now)) {
-                post(item, pass_deadline);
+                post(item, on_deadline_passed);
             }
             self->arm_tick();
         });
 }
 
-auto core_impl::answer_health(route_kind kind, const std::shared_ptr<http::responder>& out) const
-    -> void
+auto core_impl::respond_health(
+    route_kind kind, const std::shared_ptr<http::responder>& responder) const -> void
 {
     if (kind == route_kind::live) {
-        out->send(text_answer(200, "live\n"));
+        responder->send(text_response(200, "live\n"));
         return;
     }
     if (kind == route_kind::ready) {
         const auto is_ready = this->ready();
-        out->send(text_answer(is_ready ? 200 : 503, is_ready ? "ready\n" : "not ready\n"));
+        responder->send(text_response(is_ready ? 200 : 503, is_ready ? "ready\n" : "not ready\n"));
         return;
     }
-    const auto& text = this->context->parts.metrics_text;
-    out->send(text_answer(200, text ? text() : std::string()));
+    const auto& text = this->context->hooks.metrics_text;
+    responder->send(text_response(200, text ? text() : std::string()));
 }
 
-auto core_impl::handle(http::request asked, std::shared_ptr<http::responder> out) -> void
+auto core_impl::handle(http::request request, std::shared_ptr<http::responder> responder) -> void
 {
-    const auto& parts = this->context->parts;
-    auto where = parse_route(asked.method, asked.target);
-    if (!where) {
-        const common::request_id id{parts.random(), parts.random()};
-        this->context->counted.count_refusal(where.error().code);
-        out->send(problem_answer(where.error(), id, parts.now()));
+    const auto& hooks = this->context->hooks;
+    auto matched = parse_route(request.method, request.target);
+    if (!matched) {
+        const common::request_id id{hooks.random(), hooks.random()};
+        this->context->counters.count_refusal(matched.error().code);
+        responder->send(problem_response(matched.error(), id, hooks.now()));
         return;
     }
-    switch (where->kind) {
+    switch (matched->kind) {
     case route_kind::live:
     case route_kind::ready:
     case route_kind::metrics:
-        this->answer_health(where->kind, out);
+        this->respond_health(matched->kind, responder);
         return;
     case route_kind::admin:
-        this->context->admin.handle(asked, {parts.random(), parts.random()}, parts.now(), out);
+        this->context->admin.handle(
+            request, {hooks.random(), hooks.random()}, hooks.now(), responder);
         return;
     default:
-        this->begin(std::move(asked), std::move(out), std::move(*where));
+        this->begin(std::move(request), std::move(responder), std::move(*matched));
         return;
     }
 }
@@ -135,15 +138,15 @@
 /// Checks headers and body. The filters see only requests that passed this.
 auto core_impl::read_request(exchange& item) const -> common::result<void>
 {
-    auto headers = parse_headers(item.asked.headers, this->context->options.headers);
+    auto headers = parse_headers(item.request.headers, this->context->options.headers);
     if (!headers) {
         return tl::unexpected(std::move(headers.error()));
     }
     item.headers = std::move(*headers);
-    item.deadline = item.arrived + item.headers.time_allowed;
-    switch (item.where.kind) {
+    item.deadline = item.arrived + item.headers.timeout;
+    switch (item.matched_route.kind) {
     case route_kind::chat: {
-        auto chat = parse_chat(item.asked.body);
+        auto chat = parse_chat(item.request.body);
         if (!chat) {
             return tl::unexpected(std::move(chat.error()));
         }
@@ -151,11 +154,11 @@
         return {};
     }
     case route_kind::open_session: {
-        auto wanted = parse_session_request(item.asked.body);
+        auto wanted = parse_session_request(item.request.body);
         if (!wanted) {
             return tl::unexpected(std::move(wanted.error()));
         }
-        item.wanted_session = std::move(*wanted);
+        item.requested_session = std::move(*wanted);
         return {};
     }
     case route_kind::service:
@@ -166,20 +169,20 @@
     }
 }
 
-auto core_impl::begin(http::request asked, std::shared_ptr<http::responder> out, route where)
-    -> void
+auto core_impl::begin(
+    http::request request, std::shared_ptr<http::responder> responder, route matched) -> void
 {
-    const auto& parts = this->context->parts;
+    const auto& hooks = this->context->hooks;
     // Not make_shared: timers hold weak references, which would keep its memory.
     const exchange_ptr item(
         new exchange(this->context, this->context->options.sent_text_limit_bytes));
-    item->id = {parts.random(), parts.random()};
-    item->billed_as = item->id;
-    item->asked = std::move(asked);
-    item->out = std::move(out);
-    item->arrived = parts.now();
-    item->deadline = item->arrived + this->context->options.headers.default_time;
-    item->where = std::move(where);
+    item->id = {hooks.random(), hooks.random()};
+    item->billing_id = item->id;
+    item->request = std::move(request);
+    item->responder = std::move(responder);
+    item->arrived = hooks.now();
+    item->deadline = item->arrived + this->context->options.headers.default_timeout;
+    item->matched_route = std::move(matched);
     const auto readable = this->read_request(*item);
     this->context->requests.add(item);
     post(item, [this, readable](const exchange_ptr& self) {
@@ -195,20 +198,20 @@
 {
     auto& shared = *this->context;
     const auto is_full = shared.requests.size() > shared.options.request_limit;
-    if (shared.closed || is_full) {
-        const auto code =
-            shared.closed ? common::result_code::shutting_down : common::result_code::no_capacity;
+    if (shared.is_closed || is_full) {
+        const auto code = shared.is_closed ? common::result_code::shutting_down
+                                           : common::result_code::no_capacity;
         auto why = common::make_error(code);
-        why.retry_at = shared.parts.now() + shared.options.retry_after;
+        why.retry_at = shared.hooks.now() + shared.options.retry_after;
         refuse(item, std::move(why));
         return;
     }
-    item->out->on_disconnect([weak = std::weak_ptr<exchange>(item)] {
+    item->responder->on_disconnect([weak = std::weak_ptr<exchange>(item)] {
         if (const auto self = weak.lock()) {
-            post(self, leave_caller);
+            post(self, on_caller_disconnected);
         }
     });
-    switch (item->where.kind) {
+    switch (item->matched_route.kind) {
     case route_kind::list_models:
         item->chain = &shared.models_chain;
         break;
@@ -227,31 +230,31 @@
 {
     {
         const std::lock_guard guard(this->lock);
-        if (this->context->leaving) {
+        if (this->context->is_draining) {
             return;
         }
-        this->when_empty = std::move(done);
+        this->on_drained = std::move(done);
         const std::weak_ptr<core_impl> weak = this->shared_from_this();
-        this->context->request_ended = [weak] {
+        this->context->on_request_ended = [weak] {
             const auto self = weak.lock();
             if (self && self->context->requests.size() == 0) {
                 self->finish_shutdown();
             }
         };
-        this->context->leaving = true;
+        this->context->is_draining = true;
     }
-    const auto& parts = this->context->parts;
-    parts.timer(deadline, [weak = std::weak_ptr<core_impl>(this->shared_from_this())] {
+    const auto& hooks = this->context->hooks;
+    hooks.timer(deadline, [weak = std::weak_ptr<core_impl>(this->shared_from_this())] {
         const auto self = weak.lock();
         if (!self) {
             return;
         }
-        self->context->closed = true;
+        self->context->is_closed = true;
         for (const auto& item : self->context->requests.all()) {
-            post(item, cut_exchange);
+            post(item, abort_exchange);
         }
     });
-    this->context->request_ended();
+    this->context->on_request_ended();
 }
 
 auto core_impl::finish_shutdown() -> void
@@ -259,19 +262,18 @@
     std::function<auto(std::size_t cut)->void> done;
     {
         const std::lock_guard guard(this->lock);
-        done = std::exchange(this->when_empty, nullptr);
+        done = std::exchange(this->on_drained, nullptr);
     }
     if (done) {
-        done(this->context->counted.cut_by_shutdown);
+        done(this->context->counters.aborted_by_shutdown);
     }
 }
 
 } // namespace
 
-auto core::create(core_options options, collaborators parts, admin_api admin)
-    -> std::shared_ptr<core>
+auto core::create(core_options options, core_hooks hooks, admin_api admin) -> std::shared_ptr<core>
 {
-    auto made = std::make_shared<core_impl>(options, std::move(parts), std::move(admin));
+    auto made = std::make_shared<core_impl>(options, std::move(hooks), std::move(admin));
     made->start();
     return made;
 }
--- a/source/core/entry/core.hpp
+++ b/source/core/entry/core.hpp
@@ -13,7 +13,7 @@
 #include "common/units.hpp"
 #include "entry/admin_api.hpp"
 #include "entry/callers_api.hpp"
-#include "entry/collaborators.hpp"
+#include "entry/core_hooks.hpp"
 #include "entry/decisions.hpp"
 #include "http/message.hpp"
 #include "http/server.hpp"
@@ -28,9 +28,9 @@
     placement::retry_budget_settings retries;
     /// How long an idempotent request waits for word of a lost attempt before it runs elsewhere,
     /// and how long the usage of a cancelled one is asked for.
-    common::duration ask_limit = std::chrono::milliseconds(300);
+    common::duration outcome_query_timeout = std::chrono::milliseconds(300);
     /// Between two questions about a lost attempt.
-    common::duration ask_interval = std::chrono::milliseconds(100);
+    common::duration outcome_query_interval = std::chrono::milliseconds(100);
     /// How long a session waits for a server of its version, within its deadline.
     common::duration session_wait = std::chrono::seconds(5);
     /// When a caller is told to come back if nothing better is known.
@@ -38,7 +38,7 @@
     /// How often deadlines are looked at.
     common::duration tick = std::chrono::milliseconds(20);
     /// How long a session's pin is valid.
-    common::duration session_life = std::chrono::hours(24);
+    common::duration session_lifetime = std::chrono::hours(24);
     /// Backlog of a caller's connection above which the source is paused, and below which it is
     /// resumed.
     std::size_t backlog_high_bytes = std::size_t{256} * 1024;
@@ -61,7 +61,7 @@
     std::uint64_t retries = 0;
     std::uint64_t continued_streams = 0;
     std::uint64_t late_events = 0;
-    std::uint64_t cut_by_shutdown = 0;
+    std::uint64_t aborted_by_shutdown = 0;
     std::map<common::result_code, std::uint64_t> refusals;
     std::map<common::version_id, std::uint64_t> versions;
 };
@@ -69,13 +69,14 @@
 /// All decisions of an entry on callers' requests. Members may be called from any thread.
 class core {
 public:
-    static auto create(core_options options, collaborators parts, admin_api admin)
+    static auto create(core_options options, core_hooks hooks, admin_api admin)
         -> std::shared_ptr<core>;
 
     virtual ~core() = default;
 
     /// One request of the callers' or the administration API.
-    virtual auto handle(http::request asked, std::shared_ptr<http::responder> out) -> void = 0;
+    virtual auto handle(http::request request, std::shared_ptr<http::responder> responder)
+        -> void = 0;
 
     /// Starts the graceful shutdown: readiness turns false, requests under way go on, and those
     /// that still come on open connections are served too, as refusing them would be an error that
--- a/source/core/entry/collaborators.hpp
+++ b/source/core/entry/core_hooks.hpp
@@ -21,7 +21,7 @@
 namespace reedramp::entry {
 
 /// Asks which version a chat request is to use.
-struct version_question {
+struct version_query {
     common::request_id request;
     common::organisation_id organisation;
     common::task_name task;
@@ -47,7 +47,7 @@
 };
 
 /// Asks which backend server is to run a request.
-struct placement_question {
+struct placement_query {
     common::request_id request;
     messages::work_kind kind = messages::work_kind::chat;
     common::version_id version;
@@ -56,7 +56,7 @@
     std::uint64_t prefix_hash = 0;
     common::time_point deadline;
     /// Servers that this request was tried on; never chosen.
-    std::vector<common::server_id> tried;
+    std::vector<common::server_id> tried_servers;
 };
 
 struct placement_decision {
@@ -81,7 +81,7 @@
     attempt_end end = attempt_end::answered;
     /// Set unless it was answered.
     common::result_code code = common::result_code::ok;
-    common::duration took{};
+    common::duration elapsed{};
     messages::usage used;
 };
 
@@ -95,9 +95,9 @@
     std::string answer;
 };
 
-/// The parts that the core's filters ask. Each may be called from any thread, outside locks; an
+/// The hooks that the core's filters ask. Each may be called from any thread, outside locks; an
 /// answer through a callback may come at once or later, from any thread, exactly once.
-struct collaborators {
+struct core_hooks {
     common::clock_hook now;
     common::wall_clock_hook wall_now;
     common::random_hook random;
@@ -115,12 +115,12 @@
     /// Signs and checks session tokens.
     session::key_ring keys;
 
-    std::function<auto(const inventory::state& current, const version_question& question)
+    std::function<auto(const inventory::state& current, const version_query& query)
                       ->common::result<version_decision>>
         choose_version;
 
     std::function<auto(
-                      placement_question question,
+                      placement_query query,
                       std::function<auto(common::result<placement_decision> decision)->void> done)
                       ->void>
         place;
@@ -146,7 +146,7 @@
     /// Errors: `limit_requests`, `limit_tokens`, `limit_money`.
     std::function<auto(const common::organisation_id& organisation, const limits::amounts& expected)
                       ->common::result<void>>
-        take_limits;
+        reserve_limits;
     /// Corrects what was taken by what was used.
     std::function<auto(
                       const common::organisation_id& organisation,
@@ -157,10 +157,10 @@
 
     /// False while the collector is full: then new work is refused, so that no bill is dropped.
     std::function<auto()->bool> accepts_bills;
-    std::function<auto(messages::bill item)->void> bill;
+    std::function<auto(messages::bill item)->void> add_bill;
 
     /// Hands an answered question to the rating service. May be empty.
-    std::function<auto(rated_chat item)->void> rate;
+    std::function<auto(rated_chat item)->void> submit_for_rating;
     std::function<auto()->std::string> metrics_text;
 };
 
--- a/source/core/entry/exchange.hpp
+++ b/source/core/entry/exchange.hpp
@@ -10,10 +10,10 @@
 #include "common/result.hpp"
 #include "common/units.hpp"
 #include "entry/callers_api.hpp"
-#include "entry/collaborators.hpp"
+#include "entry/core_hooks.hpp"
 #include "entry/decisions.hpp"
+#include "entry/sent_token_tracker.hpp"
 #include "entry/serial_queue.hpp"
-#include "entry/token_order.hpp"
 #include "http/message.hpp"
 #include "http/server.hpp"
 #include "inventory/state.hpp"
@@ -30,7 +30,7 @@
     none,
     running,
     /// The answer was lost; the agent is asked what became of it.
-    asking,
+    querying_outcome,
     /// The caller has its answer or has left; the agent is asked what was used, for the bill.
     settling,
 };
@@ -44,12 +44,12 @@
     std::shared_ptr<messages::run_handle> handle;
     bool paused = false;
     /// Tokens that the caller had when the attempt began.
-    std::uint64_t first_token = 0;
-    common::time_point ask_until;
-    common::error lost;
+    std::uint64_t first_token_index = 0;
+    common::time_point query_until;
+    common::error loss_reason;
 };
 
-enum class answer_phase : std::uint8_t {
+enum class response_phase : std::uint8_t {
     none,
     /// Head and perhaps tokens of a stream are sent.
     started,
@@ -71,20 +71,20 @@
     /// Index of the filter that runs next.
     std::size_t next_filter = 0;
     /// How many filters have run at least once.
-    std::size_t reached = 0;
+    std::size_t filters_started = 0;
     serial_queue queue;
 
     common::request_id id;
     /// The id under which it is billed: that of an earlier copy, if its answer is passed on.
-    common::request_id billed_as;
-    http::request asked;
-    std::shared_ptr<http::responder> out;
+    common::request_id billing_id;
+    http::request request;
+    std::shared_ptr<http::responder> responder;
     common::time_point arrived;
     common::time_point deadline;
-    route where;
+    route matched_route;
     caller_headers headers;
     chat_request chat;
-    session_request wanted_session;
+    session_request requested_session;
     messages::work_kind kind = messages::work_kind::chat;
     messages::repeat_rule repeat = messages::repeat_rule::idempotent;
 
@@ -94,25 +94,25 @@
     common::model_id model;
     common::version_id version;
     std::vector<common::version_id> refused_versions;
-    placement_decision placed;
-    std::vector<common::server_id> tried;
-    std::optional<limits::amounts> taken;
+    placement_decision placement;
+    std::vector<common::server_id> tried_servers;
+    std::optional<limits::amounts> reserved_amounts;
     /// Offset of the claim that holds for this request.
     std::optional<common::log_offset> claim_offset;
 
     attempt_state attempt;
     /// What is known of earlier attempts together.
-    common::execution past = common::execution::not_run;
+    common::execution past_execution = common::execution::not_run;
     std::optional<common::error> last_failure;
-    token_order tokens;
+    sent_token_tracker tokens;
     sse_writer events;
     /// Text of the answer, if it is going to be rated.
-    std::string answer_text;
+    std::string response_text;
     bool is_rated = false;
-    answer_phase answer = answer_phase::none;
+    response_phase response = response_phase::none;
     bool ended = false;
     common::result_code result = common::result_code::ok;
-    std::vector<messages::bill_line> lines;
+    std::vector<messages::bill_line> bill_lines;
     decision_record decisions;
 };
 
--- a/source/core/entry/filter.cpp
+++ b/source/core/entry/filter.cpp
@@ -9,7 +9,7 @@
     while (!item->ended && item->next_filter < this->filters.size()) {
         const auto& next = this->filters[item->next_filter];
         ++item->next_filter;
-        item->reached = std::max(item->reached, item->next_filter);
+        item->filters_started = std::max(item->filters_started, item->next_filter);
         if (next.on_request(item) == filter_step::stop) {
             return;
         }
@@ -28,7 +28,7 @@
 
 auto filter_chain::end(exchange& item) const -> void
 {
-    for (auto index = item.reached; index > 0; --index) {
+    for (auto index = item.filters_started; index > 0; --index) {
         const auto& one = this->filters[index - 1];
         if (one.on_end) {
             one.on_end(item);
--- a/source/core/entry/filter.hpp
+++ b/source/core/entry/filter.hpp
@@ -11,7 +11,7 @@
 
 enum class filter_step : std::uint8_t {
     /// The next filter runs.
-    go_on,
+    proceed,
     /// The chain stops here: the filter has ended the exchange, or it resumes the chain later.
     stop,
 };
--- a/source/core/entry/filter_authenticate.cpp
+++ b/source/core/entry/filter_authenticate.cpp
@@ -13,10 +13,10 @@
 auto authenticate(const exchange_ptr& item) -> filter_step
 {
     auto& context = *item->context;
-    item->state = context.parts.snapshot();
+    item->state = context.hooks.snapshot();
     if (item->state == nullptr || item->state->offset.value() == 0) {
         auto why = common::make_error(common::result_code::not_ready);
-        why.retry_at = context.parts.now() + context.options.retry_after;
+        why.retry_at = context.hooks.now() + context.options.retry_after;
         refuse(item, std::move(why));
         return filter_step::stop;
     }
@@ -32,7 +32,7 @@
         return filter_step::stop;
     }
     item->organisation = owner->id;
-    return filter_step::go_on;
+    return filter_step::proceed;
 }
 
 } // namespace
--- a/source/core/entry/filter_billing.cpp
+++ b/source/core/entry/filter_billing.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /// Refuses new work while bills can't be kept: a request that is not billed is never run.
-auto check_room(const exchange_ptr& item) -> filter_step
+auto check_bill_capacity(const exchange_ptr& item) -> filter_step
 {
     const auto& context = *item->context;
-    if (context.parts.accepts_bills()) {
-        return filter_step::go_on;
+    if (context.hooks.accepts_bills()) {
+        return filter_step::proceed;
     }
     auto why = common::make_error(common::result_code::log_unavailable, "no room for bills");
-    why.retry_at = context.parts.now() + context.options.retry_after;
+    why.retry_at = context.hooks.now() + context.options.retry_after;
     refuse(item, std::move(why));
     return filter_step::stop;
 }
@@ -23,23 +23,23 @@
 /// a line for each attempt.
 auto write_bill(exchange& item) -> void
 {
-    if (item.lines.empty()) {
+    if (item.bill_lines.empty()) {
         return;
     }
     messages::bill bill;
-    bill.request = item.billed_as;
+    bill.request = item.billing_id;
     bill.organisation = item.organisation;
     bill.task = item.headers.task;
-    bill.lines = item.lines;
-    bill.at = item.context->parts.wall_now();
-    item.context->parts.bill(std::move(bill));
+    bill.lines = item.bill_lines;
+    bill.at = item.context->hooks.wall_now();
+    item.context->hooks.add_bill(std::move(bill));
 }
 
 } // namespace
 
 auto make_billing() -> filter
 {
-    return {"billing", check_room, write_bill};
+    return {"billing", check_bill_capacity, write_bill};
 }
 
 } // namespace reedramp::entry
--- a/source/core/entry/filter_claim.cpp
+++ b/source/core/entry/filter_claim.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-auto claim_of(const exchange& item) -> messages::claim_request
+auto make_claim_request(const exchange& item) -> messages::claim_request
 {
     messages::claim_request claim;
     claim.organisation = item.organisation;
     claim.key = claims::key_fingerprint(item.organisation, *item.headers.idempotency_key);
-    claim.body = claims::body_fingerprint(item.asked.method, item.asked.target, item.asked.body);
+    claim.body =
+        claims::body_fingerprint(item.request.method, item.request.target, item.request.body);
     claim.request = item.id;
-    claim.server = item.placed.server;
-    claim.incarnation = item.placed.incarnation;
+    claim.server = item.placement.server;
+    claim.incarnation = item.placement.incarnation;
     claim.attempt = common::attempt_number(item.attempt.number.value() + 1);
     claim.version = item.version;
     if (item.claim_offset) {
@@ -29,65 +30,65 @@
     return claim;
 }
 
-auto take_grant(const exchange_ptr& item, const claims::claim_granted& grant) -> void
+auto on_granted(const exchange_ptr& item, const claims::claim_granted& grant) -> void
 {
     item->claim_offset = grant.offset;
     item->attempt.number = common::attempt_number(grant.claim.attempt.value() - 1);
-    note_decision(
-        *item, common::log_part::claims, {"claim", item->placed.server.value(), "won", {}});
+    record_decision(
+        *item, common::log_part::claims, {"claim", item->placement.server.value(), "won", {}});
     item->chain->run(item);
 }
 
 /// An earlier copy of the request has ended: its answer is the caller's, and its bill too. Readers
 /// drop that bill if the entry that ran it has written it already.
-auto take_answer(const exchange_ptr& item, const claims::claim_answered& answered) -> void
+auto on_answered(const exchange_ptr& item, const claims::claim_answered& answered) -> void
 {
-    note_decision(
+    record_decision(
         *item,
         common::log_part::claims,
         {"claim", answered.holder.server.value(), "answered before", {}});
-    item->billed_as = answered.holder.request;
+    item->billing_id = answered.holder.request;
     item->version = answered.holder.version;
-    item->placed.server = answered.holder.server;
+    item->placement.server = answered.holder.server;
     item->is_rated = false;
     if (answered.outcome.finished) {
-        take_finished(item, *answered.outcome.finished);
+        complete_attempt(item, *answered.outcome.finished);
         return;
     }
     add_bill_line(*item, answered.outcome.used);
     auto why = answered.outcome.why.value_or(common::make_error(
         common::result_code::duplicate_request, "it ran, and its answer is no longer kept"));
     why.run = common::execution::ran;
-    give_up(item, std::move(why));
+    fail_request(item, std::move(why));
 }
 
-auto take_refusal(const exchange_ptr& item, const claims::claim_refused& refused) -> void
+auto on_refused(const exchange_ptr& item, const claims::claim_refused& refused) -> void
 {
     const auto is_needed = item->repeat == messages::repeat_rule::at_most_once;
     if (!is_needed && refused.why.code == common::result_code::claims_unavailable) {
-        note_decision(
+        record_decision(
             *item,
             common::log_part::claims,
-            {"claim", item->placed.server.value(), "unavailable, not needed", {}});
+            {"claim", item->placement.server.value(), "unavailable, not needed", {}});
         item->chain->run(item);
         return;
     }
-    give_up(item, refused.why);
+    fail_request(item, refused.why);
 }
 
-auto take_end(const exchange_ptr& item, const claims::claim_end& end) -> void
+auto on_claim_end(const exchange_ptr& item, const claims::claim_end& end) -> void
 {
     if (item->ended) {
         return;
     }
     if (const auto* granted = std::get_if<claims::claim_granted>(&end)) {
-        take_grant(item, *granted);
+        on_granted(item, *granted);
     }
     else if (const auto* answered = std::get_if<claims::claim_answered>(&end)) {
-        take_answer(item, *answered);
+        on_answered(item, *answered);
     }
     else if (const auto* refused = std::get_if<claims::claim_refused>(&end)) {
-        take_refusal(item, *refused);
+        on_refused(item, *refused);
     }
 }
 
@@ -96,16 +97,16 @@
 auto claim_key(const exchange_ptr& item) -> filter_step
 {
     if (!item->headers.idempotency_key) {
-        return filter_step::go_on;
+        return filter_step::proceed;
     }
-    const auto& parts = item->context->parts;
-    if (!parts.claim) {
+    const auto& hooks = item->context->hooks;
+    if (!hooks.claim) {
         const auto why = common::make_error(common::result_code::claims_unavailable);
-        take_refusal(item, {why, std::nullopt});
+        on_refused(item, {why, std::nullopt});
         return filter_step::stop;
     }
-    parts.claim(claim_of(*item), item->deadline, [item](claims::claim_end end) {
-        post(item, [end = std::move(end)](const exchange_ptr& self) { take_end(self, end); });
+    hooks.claim(make_claim_request(*item), item->deadline, [item](claims::claim_end end) {
+        post(item, [end = std::move(end)](const exchange_ptr& self) { on_claim_end(self, end); });
     });
     return filter_step::stop;
 }
--- a/source/core/entry/filter_dispatch.cpp
+++ b/source/core/entry/filter_dispatch.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-auto run_request_of(const exchange& item) -> messages::run_request
+auto make_run_request(const exchange& item) -> messages::run_request
 {
     messages::run_request request;
     request.key = item.attempt.key;
@@ -25,7 +25,7 @@
     request.task = item.headers.task;
     request.model = item.model;
     request.version = item.version;
-    request.service = item.where.service;
+    request.service = item.matched_route.service;
     if (item.pin) {
         request.session = item.pin->session;
     }
@@ -34,10 +34,10 @@
     request.configuration = item.state->offset;
     request.stream = item.chat.stream;
     request.max_tokens = item.chat.max_tokens;
-    request.method = item.asked.method;
-    request.path = item.where.path;
-    request.body = item.asked.body;
-    const auto type = http::find_header(item.asked.headers, "Content-Type");
+    request.method = item.request.method;
+    request.path = item.matched_route.path;
+    request.body = item.request.body;
+    const auto type = http::find_header(item.request.headers, "Content-Type");
     request.content_type = type ? std::string(*type) : std::string();
     if (item.tokens.sent() > 0) {
         request.sent_text = item.tokens.text();
@@ -48,13 +48,13 @@
 
 /// Stops the source while the caller's connection has much to send. Without it, a slow caller's
 /// whole answer would wait in this process's memory.
-auto hold_back(const exchange_ptr& item) -> void
+auto apply_backpressure(const exchange_ptr& item) -> void
 {
     const auto& options = item->context->options;
-    const auto backlog = item->out->backlog();
+    const auto backlog = item->responder->backlog();
     if (backlog > options.backlog_limit_bytes) {
-        item->out->abort();
-        leave_caller(item);
+        item->responder->abort();
+        on_caller_disconnected(item);
         return;
     }
     if (item->attempt.paused || backlog <= options.backlog_high_bytes) {
@@ -63,7 +63,7 @@
     item->attempt.paused = true;
     item->attempt.handle->pause();
     const auto number = item->attempt.number;
-    item->out->when_drained(
+    item->responder->when_drained(
         options.backlog_low_bytes, [weak = std::weak_ptr<exchange>(item), number] {
             const auto self = weak.lock();
             if (!self) {
@@ -80,84 +80,84 @@
         });
 }
 
-auto take_tokens(const exchange_ptr& item, const messages::tokens_event& piece) -> void
+auto on_tokens(const exchange_ptr& item, const messages::tokens_event& chunk) -> void
 {
-    switch (item->tokens.take(piece)) {
+    switch (item->tokens.accept(chunk)) {
     case token_check::repeated:
-        ++item->context->counted.late_events;
+        ++item->context->counters.late_events;
         return;
     case token_check::gap:
         item->attempt.handle->cancel();
-        add_bill_line(*item, seen_usage(*item));
-        lose_attempt(
+        add_bill_line(*item, observed_usage(*item));
+        fail_attempt(
             item,
-            attempt_fate::failed,
+            attempt_failure::failed,
             common::make_error(common::result_code::stream_broken, "tokens are missing"));
         return;
     case token_check::next:
         break;
     }
     if (item->is_rated) {
-        item->answer_text += piece.text;
+        item->response_text += chunk.text;
     }
-    send_piece(*item, piece.text);
-    hold_back(item);
+    send_chunk(*item, chunk.text);
+    apply_backpressure(item);
 }
 
-auto take_refusal(const exchange_ptr& item, messages::refused_event refused) -> void
+auto on_refused(const exchange_ptr& item, messages::refused_event refused) -> void
 {
     if (refused.retry_after > common::duration::zero()) {
-        refused.why.retry_at = item->context->parts.now() + refused.retry_after;
+        refused.why.retry_at = item->context->hooks.now() + refused.retry_after;
     }
     refused.why.run = common::execution::not_run;
-    lose_attempt(item, attempt_fate::refused, std::move(refused.why));
+    fail_attempt(item, attempt_failure::refused, std::move(refused.why));
 }
 
-auto take_failure(const exchange_ptr& item, messages::failed_event failed) -> void
+auto on_failed(const exchange_ptr& item, messages::failed_event failed) -> void
 {
     switch (failed.why.run) {
     case common::execution::not_run:
-        lose_attempt(item, attempt_fate::never_sent, std::move(failed.why));
+        fail_attempt(item, attempt_failure::never_sent, std::move(failed.why));
         return;
     case common::execution::ran:
         add_bill_line(*item, failed.used);
-        lose_attempt(item, attempt_fate::failed, std::move(failed.why));
+        fail_attempt(item, attempt_failure::failed, std::move(failed.why));
         return;
     case common::execution::unknown:
-        lose_attempt(item, attempt_fate::unknown, std::move(failed.why));
+        fail_attempt(item, attempt_failure::unknown, std::move(failed.why));
         return;
     }
 }
 
 /// An event of an attempt that is no longer the present one, or of an ended exchange, is dropped:
 /// the caller may have those tokens from a later attempt already.
-auto take_event(const exchange_ptr& item, common::attempt_number number, messages::run_event event)
+auto on_event(const exchange_ptr& item, common::attempt_number number, messages::run_event event)
     -> void
 {
     const auto is_present =
         item->attempt.phase == attempt_phase::running && item->attempt.number == number;
     if (item->ended || !is_present) {
-        ++item->context->counted.late_events;
+        ++item->context->counters.late_events;
         return;
     }
-    if (auto* piece = std::get_if<messages::tokens_event>(&event)) {
-        take_tokens(item, *piece);
+    if (auto* chunk = std::get_if<messages::tokens_event>(&event)) {
+        on_tokens(item, *chunk);
     }
     else if (auto* finished = std::get_if<messages::finished_event>(&event)) {
-        take_finished(item, std::move(*finished));
+        complete_attempt(item, std::move(*finished));
     }
     else if (auto* refused = std::get_if<messages::refused_event>(&event)) {
-        take_refusal(item, std::move(*refused));
+        on_refused(item, std::move(*refused));
     }
     else if (auto* failed = std::get_if<messages::failed_event>(&event)) {
-        take_failure(item, std::move(*failed));
+        on_failed(item, std::move(*failed));
     }
 }
 
-auto report_start(const exchange& item) -> void
+auto report_attempt_start(const exchange& item) -> void
 {
-    const auto& parts = item.context->parts;
-    if (!parts.attempt_started) {
+    const auto& hooks = item.context->hooks;
+    if (!hooks.attempt_started) {
         return;
     }
     attempt_report report;
@@ -165,48 +165,49 @@
     report.organisation = item.organisation;
     report.kind = item.kind;
     report.version = item.version;
-    report.server = item.placed.server;
-    report.incarnation = item.placed.incarnation;
-    parts.attempt_started(report);
+    report.server = item.placement.server;
+    report.incarnation = item.placement.incarnation;
+    hooks.attempt_started(report);
 }
 
 auto dispatch(const exchange_ptr& item) -> filter_step
 {
     auto& context = *item->context;
     auto& attempt = item->attempt;
-    const auto now = context.parts.now();
+    const auto now = context.hooks.now();
     if (now >= item->deadline) {
-        pass_deadline(item);
+        on_deadline_passed(item);
         return filter_step::stop;
     }
     if (attempt.number.value() == 0) {
         context.budget.note_first_try();
         const auto every = context.options.rate_every;
-        item->is_rated = context.parts.rate && item->kind == messages::work_kind::chat &&
-                         every > 0 && context.parts.random() % every == 0;
+        item->is_rated = context.hooks.submit_for_rating &&
+                         item->kind == messages::work_kind::chat && every > 0 &&
+                         context.hooks.random() % every == 0;
     }
     attempt.number = common::attempt_number(attempt.number.value() + 1);
     attempt.phase = attempt_phase::running;
-    attempt.key = {item->id, attempt.number, item->placed.incarnation};
+    attempt.key = {item->id, attempt.number, item->placement.incarnation};
     attempt.started = now;
     attempt.paused = false;
-    attempt.first_token = item->tokens.sent();
-    item->tried.push_back(item->placed.server);
-    report_start(*item);
-    attempt.handle = context.parts.agents.run(
-        item->placed.address,
-        run_request_of(*item),
+    attempt.first_token_index = item->tokens.sent();
+    item->tried_servers.push_back(item->placement.server);
+    report_attempt_start(*item);
+    attempt.handle = context.hooks.agents.run(
+        item->placement.address,
+        make_run_request(*item),
         // The registry keeps the exchange until it has ended; a handle that kept its own sink, and
         // through it the exchange that holds the handle, would never go.
         [weak = std::weak_ptr<exchange>(item), shared = item->context, number = attempt.number](
             messages::run_event event) {
             const auto self = weak.lock();
             if (!self) {
-                ++shared->counted.late_events;
+                ++shared->counters.late_events;
                 return;
             }
             post(self, [number, event = std::move(event)](const exchange_ptr& present) mutable {
-                take_event(present, number, std::move(event));
+                on_event(present, number, std::move(event));
             });
         });
     return filter_step::stop;
--- a/source/core/entry/filter_limits.cpp
+++ b/source/core/entry/filter_limits.cpp
@@ -24,8 +24,8 @@
 auto used_amounts(const exchange& item) -> limits::amounts
 {
     limits::amounts used;
-    used.requests = item.lines.empty() ? 0.0 : 1.0;
-    for (const auto& line : item.lines) {
+    used.requests = item.bill_lines.empty() ? 0.0 : 1.0;
+    for (const auto& line : item.bill_lines) {
         const auto tokens = line.used.prompt_tokens.value() + line.used.completion_tokens.value();
         used.tokens += static_cast<double>(tokens);
         used.money += static_cast<double>(line.cost.value());
@@ -35,27 +35,27 @@
 
 /// Takes from the organisation's share. It comes after the choice of the version, since money
 /// depends on the version's price.
-auto take(const exchange_ptr& item) -> filter_step
+auto reserve(const exchange_ptr& item) -> filter_step
 {
-    const auto& parts = item->context->parts;
-    if (!parts.take_limits || item->taken) {
-        return filter_step::go_on;
+    const auto& hooks = item->context->hooks;
+    if (!hooks.reserve_limits || item->reserved_amounts) {
+        return filter_step::proceed;
     }
     const auto expected = expected_amounts(*item);
-    auto admitted = parts.take_limits(item->organisation, expected);
+    auto admitted = hooks.reserve_limits(item->organisation, expected);
     if (!admitted) {
         refuse(item, std::move(admitted.error()));
         return filter_step::stop;
     }
-    item->taken = expected;
-    return filter_step::go_on;
+    item->reserved_amounts = expected;
+    return filter_step::proceed;
 }
 
-auto settle(exchange& item) -> void
+auto settle_reservation(exchange& item) -> void
 {
-    const auto& parts = item.context->parts;
-    if (item.taken && parts.settle_limits) {
-        parts.settle_limits(item.organisation, *item.taken, used_amounts(item));
+    const auto& hooks = item.context->hooks;
+    if (item.reserved_amounts && hooks.settle_limits) {
+        hooks.settle_limits(item.organisation, *item.reserved_amounts, used_amounts(item));
     }
 }
 
@@ -63,7 +63,7 @@
 
 auto make_limits() -> filter
 {
-    return {"limits", take, settle};
+    return {"limits", reserve, settle_reservation};
 }
 
 } // namespace reedramp::entry
--- a/source/core/entry/filter_list_models.cpp
+++ b/source/core/entry/filter_list_models.cpp
@@ -32,7 +32,7 @@
         listed.push_back({id.value(), "model"});
     }
     listed.insert(listed.end(), versions.begin(), versions.end());
-    send_answer(*item, models_answer(listed));
+    send_response(*item, models_response(listed));
     end_exchange(item, common::result_code::ok, common::execution::ran);
     return filter_step::stop;
 }
--- a/source/core/entry/filter_open_session.cpp
+++ b/source/core/entry/filter_open_session.cpp
@@ -11,23 +11,23 @@
 
 namespace {
 
-auto answer_with(const exchange_ptr& item, session::pin pin) -> void
+auto send_session(const exchange_ptr& item, session::pin pin) -> void
 {
     const auto& context = *item->context;
     const auto life =
-        std::chrono::duration_cast<std::chrono::milliseconds>(context.options.session_life);
-    pin.expires = common::wall_time_ms(context.parts.wall_now().value() + life.count());
-    const auto token = session::sign(pin, context.parts.keys);
-    note_decision(
+        std::chrono::duration_cast<std::chrono::milliseconds>(context.options.session_lifetime);
+    pin.expires = common::wall_time_ms(context.hooks.wall_now().value() + life.count());
+    const auto token = session::sign(pin, context.hooks.keys);
+    record_decision(
         *item,
         common::log_part::session,
         {"session", pin.session.value(), "version " + pin.version.value(), {}});
-    send_answer(*item, session_answer(token, pin.session, pin.version, pin.expires));
+    send_response(*item, session_response(token, pin.session, pin.version, pin.expires));
     end_exchange(item, common::result_code::ok, common::execution::ran);
 }
 
 /// The first claim of the name decides its version, for all entries alike.
-auto take_name(
+auto apply_name_claim(
     const exchange_ptr& item,
     session::pin pin,
     const common::result<messages::claim_answer>& answer) -> void
@@ -58,24 +58,24 @@
     }
     pin.model = version->model;
     item->version = pin.version;
-    answer_with(item, std::move(pin));
+    send_session(item, std::move(pin));
 }
 
 auto open_session(const exchange_ptr& item) -> filter_step
 {
-    const auto& parts = item->context->parts;
+    const auto& hooks = item->context->hooks;
     session::pin pin;
     pin.organisation = item->organisation;
     pin.model = item->model;
     pin.version = item->version;
-    if (!item->wanted_session.name) {
-        const common::request_id random_name{parts.random(), parts.random()};
+    if (!item->requested_session.name) {
+        const common::request_id random_name{hooks.random(), hooks.random()};
         pin.session = common::session_id(common::to_string(random_name));
-        answer_with(item, std::move(pin));
+        send_session(item, std::move(pin));
         return filter_step::stop;
     }
-    pin.session = common::session_id(*item->wanted_session.name);
-    if (!parts.claim_name) {
+    pin.session = common::session_id(*item->requested_session.name);
+    if (!hooks.claim_name) {
         refuse(item, common::make_error(common::result_code::claims_unavailable));
         return filter_step::stop;
     }
@@ -87,9 +87,9 @@
     claim.request = item->id;
     claim.attempt = common::attempt_number(1);
     claim.version = item->version;
-    parts.claim_name(std::move(claim), [item, pin](common::result<messages::claim_answer> answer) {
+    hooks.claim_name(std::move(claim), [item, pin](common::result<messages::claim_answer> answer) {
         post(item, [pin, answer = std::move(answer)](const exchange_ptr& self) {
-            take_name(self, pin, answer);
+            apply_name_claim(self, pin, answer);
         });
     });
     return filter_step::stop;
--- a/source/core/entry/filter_organisation_rules.cpp
+++ b/source/core/entry/filter_organisation_rules.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Whether a name that a caller gives means this version.
-auto is_meant(const std::string& name, const inventory::version& version) -> bool
+auto matches_model_name(const std::string& name, const inventory::version& version) -> bool
 {
     return name == any_model || name == version.model.value() || name == version.id.value();
 }
@@ -25,7 +25,7 @@
 {
     auto is_known = false;
     for (const auto& [id, version] : state.versions) {
-        if (!is_meant(name, version)) {
+        if (!matches_model_name(name, version)) {
             continue;
         }
         if (rules::allowed(state, owner, version)) {
@@ -41,7 +41,7 @@
 
 auto check_service(exchange& item, const inventory::organisation& owner) -> common::result<void>
 {
-    const auto& name = item.where.service;
+    const auto& name = item.matched_route.service;
     const auto* service = rules::find_service(*item.state, name);
     if (service == nullptr) {
         return common::failure(common::result_code::unknown_model, "no service " + name.value());
@@ -50,7 +50,7 @@
         return common::failure(
             common::result_code::organisation_not_allowed, "service " + name.value());
     }
-    item.repeat = rules::repeat_rule_of(*service, item.asked.method);
+    item.repeat = rules::repeat_rule_of(*service, item.request.method);
     return {};
 }
 
@@ -62,12 +62,12 @@
         return filter_step::stop;
     }
     common::result<void> verdict;
-    switch (item->where.kind) {
+    switch (item->matched_route.kind) {
     case route_kind::service:
         verdict = check_service(*item, *owner);
         break;
     case route_kind::open_session:
-        verdict = check_model(*item->state, *owner, item->wanted_session.model);
+        verdict = check_model(*item->state, *owner, item->requested_session.model);
         break;
     default:
         verdict = check_model(*item->state, *owner, item->chat.model);
@@ -77,7 +77,7 @@
         refuse(item, verdict.error());
         return filter_step::stop;
     }
-    return filter_step::go_on;
+    return filter_step::proceed;
 }
 
 } // namespace
--- a/source/core/entry/filter_placement.cpp
+++ b/source/core/entry/filter_placement.cpp
@@ -11,52 +11,52 @@
 namespace {
 
 /// Between two looks for a server of a session's version.
-constexpr auto look_interval = std::chrono::milliseconds(200);
+constexpr auto retry_interval = std::chrono::milliseconds(200);
 
-auto question_of(const exchange& item) -> placement_question
+auto make_query(const exchange& item) -> placement_query
 {
-    placement_question question;
-    question.request = item.id;
-    question.kind = item.kind;
-    question.version = item.version;
-    question.service = item.where.service;
+    placement_query query;
+    query.request = item.id;
+    query.kind = item.kind;
+    query.version = item.version;
+    query.service = item.matched_route.service;
     if (item.pin) {
-        question.session = item.pin->session;
+        query.session = item.pin->session;
     }
-    question.prefix_hash = item.chat.prefix_hash;
-    question.deadline = item.deadline;
-    question.tried = item.tried;
-    return question;
+    query.prefix_hash = item.chat.prefix_hash;
+    query.deadline = item.deadline;
+    query.tried_servers = item.tried_servers;
+    return query;
 }
 
 /// A session can't go to another version, so it waits for a server of its own while there is none.
 /// Any other request is told at once.
-auto may_wait(const exchange& item, common::time_point now) -> bool
+auto can_wait_for_server(const exchange& item, common::time_point now) -> bool
 {
     const auto wait_until = item.arrived + item.context->options.session_wait;
-    return item.pin && item.kind == messages::work_kind::chat && item.tried.empty() &&
-           now + look_interval < std::min(wait_until, item.deadline);
+    return item.pin && item.kind == messages::work_kind::chat && item.tried_servers.empty() &&
+           now + retry_interval < std::min(wait_until, item.deadline);
 }
 
-auto take_decision(const exchange_ptr& item, const common::result<placement_decision>& decision)
+auto apply_decision(const exchange_ptr& item, const common::result<placement_decision>& decision)
     -> void
 {
     if (item->ended) {
         return;
     }
-    const auto& parts = item->context->parts;
-    const auto now = parts.now();
+    const auto& hooks = item->context->hooks;
+    const auto now = hooks.now();
     if (decision) {
-        item->placed = *decision;
-        note_decision(
+        item->placement = *decision;
+        record_decision(
             *item,
             common::log_part::place,
             {"server", decision->server.value(), decision->reason, decision->runner_up.value()});
         item->chain->run(item);
         return;
     }
-    if (may_wait(*item, now)) {
-        parts.timer(now + look_interval, [weak = std::weak_ptr<exchange>(item)] {
+    if (can_wait_for_server(*item, now)) {
+        hooks.timer(now + retry_interval, [weak = std::weak_ptr<exchange>(item)] {
             if (const auto self = weak.lock()) {
                 post(self, [](const exchange_ptr& again) {
                     again->chain->restart_at(again, filter_names::placement);
@@ -66,15 +66,15 @@
         return;
     }
     // What the last server said tells a caller more than that there is no other one.
-    give_up(item, item->last_failure.value_or(decision.error()));
+    fail_request(item, item->last_failure.value_or(decision.error()));
 }
 
 auto place(const exchange_ptr& item) -> filter_step
 {
-    item->context->parts.place(
-        question_of(*item), [item](common::result<placement_decision> decision) {
+    item->context->hooks.place(
+        make_query(*item), [item](common::result<placement_decision> decision) {
             post(item, [decision = std::move(decision)](const exchange_ptr& self) {
-                take_decision(self, decision);
+                apply_decision(self, decision);
             });
         });
     return filter_step::stop;
--- a/source/core/entry/filter_session.cpp
+++ b/source/core/entry/filter_session.cpp
@@ -18,8 +18,8 @@
         return common::failure(
             common::result_code::bad_session_token, "the session is of another model");
     }
-    const auto& parts = item.context->parts;
-    const rules::freshness fresh{parts.current_until(), parts.now()};
+    const auto& hooks = item.context->hooks;
+    const rules::freshness fresh{hooks.current_until(), hooks.now()};
     const auto version =
         rules::serving(*item.state, pin.version, fresh, rules::work_origin::pinned_session);
     if (!version && version.error().code == common::result_code::version_withdrawn) {
@@ -38,21 +38,21 @@
 }
 
 /// Reads the session token, if there is one, and takes over its version.
-auto take_session(const exchange_ptr& item) -> filter_step
+auto apply_session_token(const exchange_ptr& item) -> filter_step
 {
     if (!item->headers.session_token) {
-        return filter_step::go_on;
+        return filter_step::proceed;
     }
-    const auto& parts = item->context->parts;
+    const auto& hooks = item->context->hooks;
     auto pin = session::verify(
-        *item->headers.session_token, item->organisation, parts.keys, parts.wall_now());
+        *item->headers.session_token, item->organisation, hooks.keys, hooks.wall_now());
     if (!pin) {
         refuse(item, std::move(pin.error()));
         return filter_step::stop;
     }
     if (item->kind == messages::work_kind::service) {
         item->pin = std::move(*pin);
-        return filter_step::go_on;
+        return filter_step::proceed;
     }
     const auto verdict = check_pin(*item, *pin);
     if (!verdict) {
@@ -60,14 +60,14 @@
         return filter_step::stop;
     }
     item->pin = std::move(*pin);
-    return filter_step::go_on;
+    return filter_step::proceed;
 }
 
 } // namespace
 
 auto make_session() -> filter
 {
-    return {"session", take_session};
+    return {"session", apply_session_token};
 }
 
 } // namespace reedramp::entry
--- a/source/core/entry/filter_version_choice.cpp
+++ b/source/core/entry/filter_version_choice.cpp
@@ -13,35 +13,35 @@
 /// Tokens of each kind by which versions are compared for a session, whose requests are not known.
 constexpr common::token_count session_tokens(1000);
 
-auto question_of(const exchange& item) -> version_question
+auto make_query(const exchange& item) -> version_query
 {
-    const auto& parts = item.context->parts;
-    const auto for_session = item.where.kind == route_kind::open_session;
-    version_question question;
-    question.request = item.id;
-    question.organisation = item.organisation;
-    question.task = item.headers.task;
-    question.model = for_session ? item.wanted_session.model : item.chat.model;
-    question.prompt_tokens = item.chat.prompt_tokens;
-    question.max_tokens = item.chat.max_tokens;
-    question.for_session = for_session;
+    const auto& hooks = item.context->hooks;
+    const auto for_session = item.matched_route.kind == route_kind::open_session;
+    version_query query;
+    query.request = item.id;
+    query.organisation = item.organisation;
+    query.task = item.headers.task;
+    query.model = for_session ? item.requested_session.model : item.chat.model;
+    query.prompt_tokens = item.chat.prompt_tokens;
+    query.max_tokens = item.chat.max_tokens;
+    query.for_session = for_session;
     if (for_session) {
-        question.prompt_tokens = session_tokens;
-        question.max_tokens = session_tokens;
+        query.prompt_tokens = session_tokens;
+        query.max_tokens = session_tokens;
     }
-    question.now = parts.now();
-    question.deadline = item.deadline;
-    question.current_until = parts.current_until();
-    question.refused = item.refused_versions;
-    return question;
+    query.now = hooks.now();
+    query.deadline = item.deadline;
+    query.current_until = hooks.current_until();
+    query.refused = item.refused_versions;
+    return query;
 }
 
 /// The chooser is a matter of cost and quality; the rules hold whatever it says.
 auto check_choice(const exchange& item, const version_decision& decision) -> common::result<void>
 {
-    const auto& parts = item.context->parts;
+    const auto& hooks = item.context->hooks;
     const auto version =
-        rules::serving(*item.state, decision.version, {parts.current_until(), parts.now()});
+        rules::serving(*item.state, decision.version, {hooks.current_until(), hooks.now()});
     if (!version) {
         return tl::unexpected(version.error());
     }
@@ -55,16 +55,16 @@
 auto choose_version(const exchange_ptr& item) -> filter_step
 {
     if (item->kind == messages::work_kind::service) {
-        return filter_step::go_on;
+        return filter_step::proceed;
     }
     if (item->pin) {
         item->model = item->pin->model;
         item->version = item->pin->version;
-        note_decision(
+        record_decision(
             *item, common::log_part::policy, {"version", item->version.value(), "pinned", {}});
-        return filter_step::go_on;
+        return filter_step::proceed;
     }
-    const auto decision = item->context->parts.choose_version(*item->state, question_of(*item));
+    const auto decision = item->context->hooks.choose_version(*item->state, make_query(*item));
     if (!decision) {
         refuse(item, decision.error());
         return filter_step::stop;
@@ -75,11 +75,11 @@
     }
     item->model = decision->model;
     item->version = decision->version;
-    note_decision(
+    record_decision(
         *item,
         common::log_part::policy,
         {"version", decision->version.value(), decision->reason, decision->runner_up.value()});
-    return filter_step::go_on;
+    return filter_step::proceed;
 }
 
 } // namespace
--- a/source/core/entry/placer.cpp
+++ b/source/core/entry/placer.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /// Services have no version; their probes are kept under a name that no version has.
-auto pool_key(const placement_question& question) -> common::version_id
+auto pool_key(const placement_query& query) -> common::version_id
 {
-    if (question.kind == messages::work_kind::chat) {
-        return question.version;
+    if (query.kind == messages::work_kind::chat) {
+        return query.version;
     }
-    return common::version_id("service/" + question.service.value());
+    return common::version_id("service/" + query.service.value());
 }
 
 auto distance_of(const membership::location& self, const membership::server_view& server)
@@ -29,7 +29,7 @@
     return placement::distance::other_region;
 }
 
-auto no_server(common::time_point retry_at) -> common::error
+auto no_capacity_error(common::time_point retry_at) -> common::error
 {
     auto why = common::make_error(common::result_code::no_capacity);
     why.retry_at = retry_at;
@@ -40,17 +40,17 @@
 
 /// One request that waits for probes.
 struct placer::pending {
-    placement_question question;
+    placement_query query;
     placement::place_request request;
     candidate_ptr set;
     done_hook done;
-    std::atomic<std::size_t> unanswered{0};
+    std::atomic<std::size_t> outstanding_probes{0};
     std::atomic<bool> decided{false};
     /// Rounds of probes sent.
     std::atomic<std::size_t> rounds{1};
 
     /// True for the one caller that comes first.
-    auto take() -> bool { return !this->decided.exchange(true); }
+    auto claim_decision() -> bool { return !this->decided.exchange(true); }
 };
 
 placer::placer(placer_settings wanted, placer_hooks given, std::shared_ptr<membership::view> known)
@@ -67,15 +67,15 @@
         new placer(std::move(settings), std::move(hooks), std::move(members)));
 }
 
-auto placer::make_candidates(const placement_question& question) const -> candidate_ptr
+auto placer::make_candidates(const placement_query& query) const -> candidate_ptr
 {
     const auto now = this->hooks.now();
     auto made = std::make_shared<candidate_set>();
     made->generation = this->members->generation();
-    made->until = now + this->settings.candidates_life;
-    const auto usable = question.kind == messages::work_kind::chat
-                            ? this->members->servers_for(question.version, now)
-                            : this->members->servers_for(question.service, now);
+    made->until = now + this->settings.candidates_lifetime;
+    const auto usable = query.kind == messages::work_kind::chat
+                            ? this->members->servers_for(query.version, now)
+                            : this->members->servers_for(query.service, now);
     const auto& self = this->settings.self;
     for (const auto& server : membership::choose_subset(self, usable, this->settings.subset)) {
         made->candidates.push_back(
@@ -85,9 +85,9 @@
     return made;
 }
 
-auto placer::candidates_for(const placement_question& question) -> candidate_ptr
+auto placer::candidates_for(const placement_query& query) -> candidate_ptr
 {
-    const auto key = pool_key(question).value();
+    const auto key = pool_key(query).value();
     const auto generation = this->members->generation();
     {
         const std::lock_guard guard(this->lock);
@@ -97,27 +97,27 @@
             return found->second;
         }
     }
-    auto made = this->make_candidates(question);
+    auto made = this->make_candidates(query);
     const std::lock_guard guard(this->lock);
     this->sets[key] = made;
     return made;
 }
 
-auto placer::place(placement_question question, done_hook done) -> void
+auto placer::place(placement_query query, done_hook done) -> void
 {
     auto item = std::make_shared<pending>();
-    item->request.version = pool_key(question);
-    if (question.session) {
-        item->request.session_hash = placement::affinity_hash(question.session->value());
+    item->request.version = pool_key(query);
+    if (query.session) {
+        item->request.session_hash = placement::affinity_hash(query.session->value());
     }
-    item->request.prefix_hash = question.prefix_hash;
-    item->request.excluded = question.tried;
-    item->set = this->candidates_for(question);
-    item->question = std::move(question);
+    item->request.prefix_hash = query.prefix_hash;
+    item->request.excluded = query.tried_servers;
+    item->set = this->candidates_for(query);
+    item->query = std::move(query);
     item->done = std::move(done);
     const auto plan = this->chooser.plan(
         item->request, item->set->candidates, this->pool, 0, this->hooks.now(), this->hooks.random);
-    if (plan.ask.empty() || this->knows_enough(*item, plan)) {
+    if (plan.ask.empty() || this->has_recent_probes(*item, plan)) {
         this->decide(item);
     }
     else {
@@ -132,29 +132,29 @@
 
 /// Waiting for the probes would add a trip to each request; at a high rate the answers to the
 /// probes of the requests before are hardly older.
-auto placer::knows_enough(const pending& item, const placement::probe_plan& plan) -> bool
+auto placer::has_recent_probes(const pending& item, const placement::probe_plan& plan) -> bool
 {
     const auto now = this->hooks.now();
-    const auto least = now + this->settings.pool.lifetime - this->settings.young;
+    const auto least = now + this->settings.pool.lifetime - this->settings.recent_probe_age;
     const auto has_preferred = item.request.session_hash != 0 || item.request.prefix_hash != 0;
     const auto& preferred = item.set->candidates[plan.ask.front()];
     auto knows_preferred = !has_preferred;
-    std::size_t young = 0;
+    std::size_t recent = 0;
     for (const auto& probe : this->pool.fresh(item.request.version, now)) {
         if (probe.expires < least) {
             continue;
         }
-        ++young;
+        ++recent;
         knows_preferred = knows_preferred || probe.hash == preferred.hash;
     }
-    const auto wanted = std::min(this->settings.enough_young, item.set->candidates.size());
-    return knows_preferred && young >= wanted;
+    const auto wanted = std::min(this->settings.min_recent_probes, item.set->candidates.size());
+    return knows_preferred && recent >= wanted;
 }
 
 auto placer::send_probes(const pending_ptr& item, const std::vector<std::size_t>& ask) -> void
 {
-    item->unanswered = ask.size();
-    const messages::probe_request request{item->question.version, item->question.prefix_hash};
+    item->outstanding_probes = ask.size();
+    const messages::probe_request request{item->query.version, item->query.prefix_hash};
     for (const auto index : ask) {
         this->hooks.probe(
             item->set->addresses[index],
@@ -165,9 +165,9 @@
                 if (!self) {
                     return;
                 }
-                self->take_probe(item->request.version, item->set->candidates[index], answer);
-                if (item->unanswered.fetch_sub(1) == 1) {
-                    self->all_answered(item);
+                self->apply_probe(item->request.version, item->set->candidates[index], answer);
+                if (item->outstanding_probes.fetch_sub(1) == 1) {
+                    self->on_all_probes_answered(item);
                 }
             });
     }
@@ -175,7 +175,7 @@
 
 /// Asks further servers while those that answered are all busy. The time to decide stays what it
 /// was.
-auto placer::all_answered(const pending_ptr& item) -> void
+auto placer::on_all_probes_answered(const pending_ptr& item) -> void
 {
     if (item->decided) {
         return;
@@ -194,7 +194,7 @@
     this->send_probes(item, more.ask);
 }
 
-auto placer::take_probe(
+auto placer::apply_probe(
     const common::version_id& version,
     const placement::candidate& from,
     const common::result<messages::probe_answer>& answer) -> void
@@ -211,23 +211,23 @@
 
 auto placer::decide(const pending_ptr& item) -> void
 {
-    if (!item->take()) {
+    if (!item->claim_decision()) {
         return;
     }
     const auto now = this->hooks.now();
     const auto chosen = this->chooser.place(
         item->request, item->set->candidates, this->pool, now, this->hooks.random);
     if (!chosen) {
-        item->done(tl::unexpected(no_server(now + this->settings.retry_after)));
+        item->done(tl::unexpected(no_capacity_error(now + this->settings.retry_after)));
         return;
     }
     const auto server = this->members->find(chosen->server);
     if (!server) {
-        item->done(tl::unexpected(no_server(now + this->settings.retry_after)));
+        item->done(tl::unexpected(no_capacity_error(now + this->settings.retry_after)));
         return;
     }
     if (server->incarnation.value() == 0) {
-        this->learn_life(item, *chosen);
+        this->resolve_incarnation(item, *chosen);
         return;
     }
     item->done(placement_decision{
@@ -240,10 +240,11 @@
 
 /// A request names the life of the agent that it is for. A server that has not answered yet is
 /// asked for it; if it does not tell, the next best one is taken.
-auto placer::learn_life(const pending_ptr& item, const placement::placement& chosen) -> void
+auto placer::resolve_incarnation(const pending_ptr& item, const placement::placement& chosen)
+    -> void
 {
     auto next = std::make_shared<pending>();
-    next->question = item->question;
+    next->query = item->query;
     next->request = item->request;
     next->set = item->set;
     next->done = std::move(item->done);
@@ -251,7 +252,7 @@
     while (item->set->candidates[index].server != chosen.server) {
         ++index;
     }
-    const auto go_on = [weak = this->weak_from_this(), next, server = chosen.server] {
+    const auto continue_placement = [weak = this->weak_from_this(), next, server = chosen.server] {
         const auto self = weak.lock();
         if (!self || next->decided) {
             return;
@@ -262,16 +263,17 @@
         }
         self->decide(next);
     };
-    this->hooks.timer(this->hooks.now() + this->settings.first_probe_wait, go_on);
+    this->hooks.timer(
+        this->hooks.now() + this->settings.incarnation_probe_timeout, continue_placement);
     this->hooks.probe(
         item->set->addresses[index],
-        {item->question.version, item->question.prefix_hash},
-        [weak = this->weak_from_this(), next, index, go_on](
+        {item->query.version, item->query.prefix_hash},
+        [weak = this->weak_from_this(), next, index, continue_placement](
             const common::result<messages::probe_answer>& answer) {
             if (const auto self = weak.lock()) {
-                self->take_probe(next->request.version, next->set->candidates[index], answer);
+                self->apply_probe(next->request.version, next->set->candidates[index], answer);
             }
-            go_on();
+            continue_placement();
         });
 }
 
--- a/source/core/entry/placer.hpp
+++ b/source/core/entry/placer.hpp
@@ -10,7 +10,7 @@
 
 #include "common/hooks.hpp"
 #include "common/result.hpp"
-#include "entry/collaborators.hpp"
+#include "entry/core_hooks.hpp"
 #include "membership/subset.hpp"
 #include "membership/view.hpp"
 #include "messages/channel.hpp"
@@ -26,12 +26,12 @@
     placement::probe_pool_settings pool;
     /// A request does not wait for its probes when this many answers are no older than `young`, and
     /// its preferred server is among them; its probes then serve the next requests.
-    std::size_t enough_young = 2;
-    common::duration young = std::chrono::milliseconds(50);
+    std::size_t min_recent_probes = 2;
+    common::duration recent_probe_age = std::chrono::milliseconds(50);
     /// How long a list of candidates is used while membership does not change.
-    common::duration candidates_life = std::chrono::milliseconds(100);
+    common::duration candidates_lifetime = std::chrono::milliseconds(100);
     /// How long a server of which no life is known yet is asked for it.
-    common::duration first_probe_wait = std::chrono::milliseconds(1500);
+    common::duration incarnation_probe_timeout = std::chrono::milliseconds(1500);
     common::duration retry_after = std::chrono::seconds(1);
 };
 
@@ -58,10 +58,10 @@
     create(placer_settings settings, placer_hooks hooks, std::shared_ptr<membership::view> members)
         -> std::shared_ptr<placer>;
 
-    /// `collaborators::place`. Errors: `no_capacity`.
-    auto place(placement_question question, done_hook done) -> void;
+    /// `core_hooks::place`. Errors: `no_capacity`.
+    auto place(placement_query query, done_hook done) -> void;
 
-    /// `collaborators::attempt_ended`: what an attempt showed of its server.
+    /// `core_hooks::attempt_ended`: what an attempt showed of its server.
     auto attempt_ended(const attempt_report& report) -> void;
 
     /// A connection to this address was lost.
@@ -85,17 +85,18 @@
 
     placer(placer_settings wanted, placer_hooks given, std::shared_ptr<membership::view> known);
 
-    auto candidates_for(const placement_question& question) -> candidate_ptr;
-    [[nodiscard]] auto make_candidates(const placement_question& question) const -> candidate_ptr;
-    [[nodiscard]] auto knows_enough(const pending& item, const placement::probe_plan& plan) -> bool;
+    auto candidates_for(const placement_query& query) -> candidate_ptr;
+    [[nodiscard]] auto make_candidates(const placement_query& query) const -> candidate_ptr;
+    [[nodiscard]] auto has_recent_probes(const pending& item, const placement::probe_plan& plan)
+        -> bool;
     auto send_probes(const pending_ptr& item, const std::vector<std::size_t>& ask) -> void;
-    auto all_answered(const pending_ptr& item) -> void;
-    auto take_probe(
+    auto on_all_probes_answered(const pending_ptr& item) -> void;
+    auto apply_probe(
         const common::version_id& version,
         const placement::candidate& from,
         const common::result<messages::probe_answer>& answer) -> void;
     auto decide(const pending_ptr& item) -> void;
-    auto learn_life(const pending_ptr& item, const placement::placement& chosen) -> void;
+    auto resolve_incarnation(const pending_ptr& item, const placement::placement& chosen) -> void;
 
     placer_settings settings;
     placer_hooks hooks;
--- a/source/core/entry/recovery.cpp
+++ b/source/core/entry/recovery.cpp
@@ -4,7 +4,7 @@
 
 namespace reedramp::entry {
 
-auto is_final(common::result_code code) -> bool
+auto is_permanent_refusal(common::result_code code) -> bool
 {
     switch (code) {
     case common::result_code::malformed_request:
@@ -26,7 +26,7 @@
     }
 }
 
-auto together(common::execution left, common::execution right) -> common::execution
+auto combine_execution(common::execution left, common::execution right) -> common::execution
 {
     const auto weight = [](common::execution value) {
         switch (value) {
@@ -43,24 +43,25 @@
         left, right, [&weight](auto one, auto other) { return weight(one) < weight(other); });
 }
 
-auto next_step(const recovery_facts& facts) -> recovery_step
+auto choose_recovery(const recovery_input& facts) -> recovery_action
 {
     if (facts.now >= facts.deadline) {
-        return recovery_step::give_up;
+        return recovery_action::give_up;
     }
-    if (facts.fate == attempt_fate::unknown && facts.now < facts.ask_until) {
-        return recovery_step::ask;
+    if (facts.failure == attempt_failure::unknown && facts.now < facts.query_until) {
+        return recovery_action::query_outcome;
     }
     const auto can_run_twice = facts.repeat == messages::repeat_rule::idempotent;
-    const auto runs_no_more =
-        facts.fate == attempt_fate::never_sent || facts.fate == attempt_fate::refused;
-    if (!runs_no_more && !can_run_twice) {
-        return recovery_step::give_up;
+    const auto never_ran =
+        facts.failure == attempt_failure::never_sent || facts.failure == attempt_failure::refused;
+    if (!never_ran && !can_run_twice) {
+        return recovery_action::give_up;
     }
-    if (facts.stuck_stream || is_final(facts.code) || facts.attempts >= facts.attempt_limit) {
-        return recovery_step::give_up;
+    if (facts.is_stream_lost || is_permanent_refusal(facts.code) ||
+        facts.attempts >= facts.attempt_limit) {
+        return recovery_action::give_up;
     }
-    return recovery_step::try_again;
+    return recovery_action::retry;
 }
 
 } // namespace reedramp::entry
--- a/source/core/entry/recovery.hpp
+++ b/source/core/entry/recovery.hpp
@@ -9,7 +9,7 @@
 namespace reedramp::entry {
 
 /// What is known of an attempt that brought no whole answer.
-enum class attempt_fate : std::uint8_t {
+enum class attempt_failure : std::uint8_t {
     /// No byte was handed to the socket.
     never_sent,
     /// The agent has recorded that it never runs this key.
@@ -20,42 +20,42 @@
     unknown,
 };
 
-enum class recovery_step : std::uint8_t {
+enum class recovery_action : std::uint8_t {
     /// Another attempt, on another server if there is one.
-    try_again,
+    retry,
     /// Ask the agent what became of the attempt.
-    ask,
+    query_outcome,
     /// Tell the caller now.
     give_up,
 };
 
-struct recovery_facts {
-    attempt_fate fate = attempt_fate::unknown;
+struct recovery_input {
+    attempt_failure failure = attempt_failure::unknown;
     /// Why the attempt ended.
     common::result_code code = common::result_code::internal_error;
     messages::repeat_rule repeat = messages::repeat_rule::at_most_once;
     /// The caller has tokens of a stream that no other server can go on with.
-    bool stuck_stream = false;
+    bool is_stream_lost = false;
     std::uint32_t attempts = 1;
     std::uint32_t attempt_limit = 1;
     common::time_point now;
     common::time_point deadline;
     /// For `unknown`: until when it is worth asking.
-    common::time_point ask_until;
+    common::time_point query_until;
 };
 
 /// What to do after an attempt that brought no whole answer. The retry budget is asked by the
-/// caller of this function, and only after `try_again`.
+/// caller of this function, and only after `retry`.
 ///
 /// A second attempt is only ever made when the first one can't run any more, or when the request
 /// may run twice. Else two servers could both run a request that must run at most once.
-auto next_step(const recovery_facts& facts) -> recovery_step;
+auto choose_recovery(const recovery_input& facts) -> recovery_action;
 
 /// True for a refusal that every server would repeat.
-auto is_final(common::result_code code) -> bool;
+auto is_permanent_refusal(common::result_code code) -> bool;
 
 /// What a caller is told of several attempts together: `unknown` if one of them is, else `ran` if
 /// one of them did.
-auto together(common::execution left, common::execution right) -> common::execution;
+auto combine_execution(common::execution left, common::execution right) -> common::execution;
 
 } // namespace reedramp::entry
--- a/source/core/entry/reply.cpp
+++ b/source/core/entry/reply.cpp
@@ -18,16 +18,16 @@
     head.headers.push_back({"Content-Type", "text/event-stream"});
     head.headers.push_back({"Cache-Control", "no-cache"});
     add_reedramp_headers(item, head);
-    item.events = sse_writer(item.id, item.version, item.context->parts.wall_now());
-    item.answer = answer_phase::started;
-    item.out->start(std::move(head));
+    item.events = sse_writer(item.id, item.version, item.context->hooks.wall_now());
+    item.response = response_phase::started;
+    item.responder->start(std::move(head));
 }
 
 /// Usage as the caller sees it. A server that goes on with a stream reads what was sent as part of
 /// its prompt; the caller has asked for one prompt and got one answer.
-auto usage_of_whole(const exchange& item, const messages::usage& last) -> messages::usage
+auto usage_for_caller(const exchange& item, const messages::usage& last) -> messages::usage
 {
-    const auto continued = item.attempt.first_token;
+    const auto continued = item.attempt.first_token_index;
     if (continued == 0) {
         return last;
     }
@@ -42,7 +42,7 @@
     std::string line = "request ended request=" + common::to_string(item.id);
     line += " organisation=" + item.organisation.value();
     line += " version=" + item.version.value();
-    line += " server=" + item.placed.server.value();
+    line += " server=" + item.placement.server.value();
     line += " attempts=" + std::to_string(item.attempt.number.value());
     line += " code=" + std::string(common::row_of(code).name);
     line += " execution=" + std::string(common::to_string(run));
@@ -54,7 +54,7 @@
 auto add_reedramp_headers(const exchange& item, http::response& answer) -> void
 {
     answer.headers.push_back(
-        {std::string(header_names::request_id), common::to_string(item.billed_as)});
+        {std::string(header_names::request_id), common::to_string(item.billing_id)});
     if (!item.version.value().empty()) {
         answer.headers.push_back({std::string(header_names::version), item.version.value()});
     }
@@ -65,59 +65,59 @@
 
 auto send_error(exchange& item, const common::error& why) -> void
 {
-    if (item.answer == answer_phase::ended) {
+    if (item.response == response_phase::ended) {
         return;
     }
-    item.context->counted.count_refusal(why.code);
-    if (item.answer == answer_phase::started) {
-        item.answer = answer_phase::ended;
-        item.out->write(sse_writer::broken(why, item.billed_as));
-        item.out->finish();
+    item.context->counters.count_refusal(why.code);
+    if (item.response == response_phase::started) {
+        item.response = response_phase::ended;
+        item.responder->write(sse_writer::error_event(why, item.billing_id));
+        item.responder->finish();
         return;
     }
-    item.answer = answer_phase::ended;
-    auto answer = problem_answer(why, item.billed_as, item.context->parts.now());
+    item.response = response_phase::ended;
+    auto answer = problem_response(why, item.billing_id, item.context->hooks.now());
     if (!item.version.value().empty()) {
         answer.headers.push_back({std::string(header_names::version), item.version.value()});
     }
-    item.out->send(std::move(answer));
+    item.responder->send(std::move(answer));
 }
 
-auto send_answer(exchange& item, http::response answer) -> void
+auto send_response(exchange& item, http::response answer) -> void
 {
-    if (item.answer != answer_phase::none) {
+    if (item.response != response_phase::none) {
         return;
     }
-    item.answer = answer_phase::ended;
+    item.response = response_phase::ended;
     add_reedramp_headers(item, answer);
-    item.out->send(std::move(answer));
+    item.responder->send(std::move(answer));
 }
 
-auto send_piece(exchange& item, std::string_view text) -> void
+auto send_chunk(exchange& item, std::string_view text) -> void
 {
-    if (item.answer == answer_phase::none) {
+    if (item.response == response_phase::none) {
         start_stream(item);
     }
-    if (item.answer == answer_phase::started) {
-        item.out->write(item.events.piece(text));
+    if (item.response == response_phase::started) {
+        item.responder->write(item.events.chunk(text));
     }
 }
 
-auto send_ending(exchange& item, const messages::finished_event& finished) -> void
+auto send_final_events(exchange& item, const messages::finished_event& finished) -> void
 {
-    if (item.answer == answer_phase::none) {
+    if (item.response == response_phase::none) {
         start_stream(item);
     }
-    if (item.answer != answer_phase::started) {
+    if (item.response != response_phase::started) {
         return;
     }
-    item.answer = answer_phase::ended;
+    item.response = response_phase::ended;
     std::optional<messages::usage> used;
     if (item.chat.include_usage) {
-        used = usage_of_whole(item, finished.used);
+        used = usage_for_caller(item, finished.used);
     }
-    item.out->write(item.events.ending(finished.finish_reason, used));
-    item.out->finish();
+    item.responder->write(item.events.final_events(finished.finish_reason, used));
+    item.responder->finish();
 }
 
 auto end_exchange(const exchange_ptr& item, common::result_code code, common::execution run) -> void
@@ -138,20 +138,20 @@
     auto& context = *item->context;
     context.decisions.add(std::move(item->decisions));
     context.requests.remove(*item);
-    if (context.leaving) {
-        context.request_ended();
+    if (context.is_draining) {
+        context.on_request_ended();
     }
 }
 
 auto refuse(const exchange_ptr& item, common::error why) -> void
 {
     // A filter that is run again after a failed attempt knows only of this time.
-    why.run = together(why.run, item->past);
+    why.run = combine_execution(why.run, item->past_execution);
     send_error(*item, why);
     end_exchange(item, why.code, why.run);
 }
 
-auto note_decision(exchange& item, common::log_part part, decision_step step) -> void
+auto record_decision(exchange& item, common::log_part part, decision_step step) -> void
 {
     std::string line = step.what + " chosen=" + step.chosen + " reason=" + step.reason;
     if (!step.runner_up.empty()) {
--- a/source/core/entry/reply.hpp
+++ b/source/core/entry/reply.hpp
@@ -17,13 +17,13 @@
 auto send_error(exchange& item, const common::error& why) -> void;
 
 /// Sends a whole answer.
-auto send_answer(exchange& item, http::response answer) -> void;
+auto send_response(exchange& item, http::response answer) -> void;
 
 /// Begins the stream if it has not begun, and sends a piece.
-auto send_piece(exchange& item, std::string_view text) -> void;
+auto send_chunk(exchange& item, std::string_view text) -> void;
 
 /// Sends the last events of a stream.
-auto send_ending(exchange& item, const messages::finished_event& finished) -> void;
+auto send_final_events(exchange& item, const messages::finished_event& finished) -> void;
 
 /// Ends the exchange: filters' `on_end`, the decision record, the registry. The caller has its
 /// answer or has left. Later calls do nothing.
@@ -34,6 +34,6 @@
 auto refuse(const exchange_ptr& item, common::error why) -> void;
 
 /// Adds a step to the decision record and writes it as a log line.
-auto note_decision(exchange& item, common::log_part part, decision_step step) -> void;
+auto record_decision(exchange& item, common::log_part part, decision_step step) -> void;
 
 } // namespace reedramp::entry
--- a/source/core/entry/answers.cpp
+++ b/source/core/entry/responses.cpp
@@ -35,13 +35,13 @@
 /// Appends `text` as the inside of a JSON string.
 auto append_escaped(std::string& out, std::string_view text) -> void
 {
-    for (const auto letter : text) {
-        const auto code = static_cast<unsigned char>(letter);
-        if (letter == '"' || letter == '\\') {
+    for (const auto character : text) {
+        const auto code = static_cast<unsigned char>(character);
+        if (character == '"' || character == '\\') {
             out.push_back('\\');
-            out.push_back(letter);
+            out.push_back(character);
         }
-        else if (letter == '\n') {
+        else if (character == '\n') {
             out += "\\n";
         }
         else if (code < 0x20U) {
@@ -50,7 +50,7 @@
             out.push_back(hex_digits[code & 0xfU]);
         }
         else {
-            out.push_back(letter);
+            out.push_back(character);
         }
     }
 }
@@ -67,12 +67,12 @@
 
 } // namespace
 
-auto json_answer(std::uint16_t status, std::string body) -> http::response
+auto json_response(std::uint16_t status, std::string body) -> http::response
 {
     return {status, {{"Content-Type", std::string(json_type)}}, std::move(body)};
 }
 
-auto text_answer(std::uint16_t status, std::string body) -> http::response
+auto text_response(std::uint16_t status, std::string body) -> http::response
 {
     return {status, {{"Content-Type", "text/plain; version=0.0.4"}}, std::move(body)};
 }
@@ -82,7 +82,7 @@
     return json::serialize(problem_object(why, request));
 }
 
-auto problem_answer(
+auto problem_response(
     const common::error& why, const common::request_id& request, common::time_point now)
     -> http::response
 {
@@ -102,24 +102,24 @@
     return answer;
 }
 
-auto models_answer(const std::vector<listed_model>& models) -> http::response
+auto models_response(const std::vector<listed_model>& models) -> http::response
 {
     json::array data;
     for (const auto& item : models) {
         data.push_back(json::object{
             {"id", item.id}, {"object", "model"}, {"kind", item.kind}, {"owned_by", "reedramp"}});
     }
-    return json_answer(
+    return json_response(
         200, json::serialize(json::object{{"object", "list"}, {"data", std::move(data)}}));
 }
 
-auto session_answer(
+auto session_response(
     std::string_view token,
     const common::session_id& session,
     const common::version_id& version,
     common::wall_time_ms expires) -> http::response
 {
-    auto answer = json_answer(
+    auto answer = json_response(
         201,
         json::serialize(json::object{
             {"session", session.value()},
@@ -145,7 +145,7 @@
     this->prefix += R"(","choices":[)";
 }
 
-auto sse_writer::piece(std::string_view text) const -> std::string
+auto sse_writer::chunk(std::string_view text) const -> std::string
 {
     constexpr std::string_view before = R"({"index":0,"delta":{"content":")";
     constexpr std::string_view after = "\"},\"finish_reason\":null}]}\n\n";
@@ -158,7 +158,7 @@
     return out;
 }
 
-auto sse_writer::ending(
+auto sse_writer::final_events(
     std::string_view finish_reason, const std::optional<messages::usage>& used) const -> std::string
 {
     std::string out = this->prefix;
@@ -173,7 +173,8 @@
     return out;
 }
 
-auto sse_writer::broken(const common::error& why, const common::request_id& request) -> std::string
+auto sse_writer::error_event(const common::error& why, const common::request_id& request)
+    -> std::string
 {
     return "event: error\ndata: " + problem_text(why, request) + "\n\n";
 }
--- a/source/core/entry/token_order.hpp
+++ b/source/core/entry/sent_token_tracker.hpp
@@ -19,12 +19,12 @@
 
 /// Keeps the tokens of one streamed answer in order over several attempts, and the text that a new
 /// attempt needs to go on after them.
-class token_order {
+class sent_token_tracker {
 public:
-    explicit token_order(std::size_t limit) : text_limit(limit) {}
+    explicit sent_token_tracker(std::size_t limit) : text_limit(limit) {}
 
     /// Checks a piece and, if it is the next one, counts it as sent.
-    auto take(const messages::tokens_event& piece) -> token_check;
+    auto accept(const messages::tokens_event& chunk) -> token_check;
 
     /// Tokens that the caller has.
     [[nodiscard]] auto sent() const -> std::uint64_t { return this->next_index; }
--- a/source/core/entry/version_policy.cpp
+++ b/source/core/entry/version_policy.cpp
@@ -21,7 +21,7 @@
 
 constexpr double permille = 1000.0;
 
-auto holds(const version_list& versions, const common::version_id& id) -> bool
+auto contains_version(const version_list& versions, const common::version_id& id) -> bool
 {
     return std::ranges::any_of(versions, [&id](const auto* one) { return one->id == id; });
 }
@@ -34,13 +34,14 @@
     return std::ranges::any_of(current.rollouts, [&](const auto& entry) {
         const auto& item = entry.second;
         return item.from == id && item.status == inventory::rollout_status::completed &&
-               holds(eligible, item.to);
+               contains_version(eligible, item.to);
     });
 }
 
 /// Versions that are chosen by their merits. One that is being rolled out gets work only as the
 /// share of its roll-out; one that was replaced gets none. Where nothing else is left, they serve.
-auto established(const inventory::state& current, const version_list& eligible) -> version_list
+auto established_versions(const inventory::state& current, const version_list& eligible)
+    -> version_list
 {
     version_list found;
     for (const auto* version : eligible) {
@@ -54,17 +55,17 @@
 }
 
 /// The same request or session always falls on the same side of a share.
-auto share_hash(const version_question& question, const std::string& rollout) -> std::uint64_t
+auto share_hash(const version_query& query, const std::string& rollout) -> std::uint64_t
 {
     return XXH3_64bits_withSeed(
-        rollout.data(), rollout.size(), question.request.high ^ question.request.low);
+        rollout.data(), rollout.size(), query.request.high ^ query.request.low);
 }
 
-auto rule_of(const inventory::state& current, const version_question& question)
+auto rule_of(const inventory::state& current, const version_query& query)
     -> const inventory::task_rule*
 {
-    const auto* owner = rules::find_organisation(current, question.organisation);
-    return owner == nullptr ? nullptr : rules::task_rule_of(*owner, question.task);
+    const auto* owner = rules::find_organisation(current, query.organisation);
+    return owner == nullptr ? nullptr : rules::task_rule_of(*owner, query.task);
 }
 
 auto within_ceiling(const inventory::task_rule* rule, version_list versions) -> version_list
@@ -77,9 +78,9 @@
     return versions;
 }
 
-auto is_named(const version_question& question, const version_list& eligible) -> bool
+auto names_one_version(const version_query& query, const version_list& eligible) -> bool
 {
-    return eligible.size() == 1 && eligible.front()->id.value() == question.model;
+    return eligible.size() == 1 && eligible.front()->id.value() == query.model;
 }
 
 auto named_decision(const inventory::version& version) -> version_decision
@@ -96,56 +97,56 @@
 }
 
 auto version_policy::choose(
-    const inventory::state& current, const version_question& question, double chance)
+    const inventory::state& current, const version_query& query, double chance)
     -> common::result<version_decision>
 {
-    auto eligible = eligible_versions(current, question);
+    auto eligible = eligible_versions(current, query);
     if (!eligible) {
         return tl::unexpected(eligible.error());
     }
-    const auto affordable = within_ceiling(rule_of(current, question), std::move(*eligible));
+    const auto affordable = within_ceiling(rule_of(current, query), std::move(*eligible));
     if (affordable.empty()) {
         return common::failure(
             common::result_code::organisation_not_allowed, "all are above the price ceiling");
     }
-    if (is_named(question, affordable)) {
+    if (names_one_version(query, affordable)) {
         return named_decision(*affordable.front());
     }
-    const auto candidates = established(current, affordable);
-    auto decision = this->choose_among(current, question, candidates, chance);
+    const auto candidates = established_versions(current, affordable);
+    auto decision = this->choose_among(current, query, candidates, chance);
     if (!decision) {
         return decision;
     }
-    return this->follow_rollouts(current, question, affordable, std::move(*decision));
+    return this->apply_rollout_share(current, query, affordable, std::move(*decision));
 }
 
 auto version_policy::options_for(
     const inventory::state& current,
-    const version_question& question,
+    const version_query& query,
     const std::vector<const inventory::version*>& candidates) -> std::vector<policy::option>
 {
-    const messages::usage expected{question.prompt_tokens, question.max_tokens};
+    const messages::usage expected{query.prompt_tokens, query.max_tokens};
     std::vector<policy::option> options;
     options.reserve(candidates.size());
     for (const auto* version : candidates) {
         policy::option option;
         option.key.first = version->id;
         const auto prior = static_cast<double>(version->prior.mean.value()) / permille;
-        this->quality.set_prior(option.key, question.task, prior);
-        option.quality = this->quality.estimate(option.key, question.task);
+        this->quality.set_prior(option.key, query.task, prior);
+        option.quality = this->quality.estimate(option.key, query.task);
         option.expected_cost = cost_of(current, version->id, expected);
         options.push_back(std::move(option));
     }
     return options;
 }
 
-auto version_policy::price_of_quality(const account_key& key) -> double
+auto version_policy::quality_price_of(const account_key& key) -> double
 {
     const std::lock_guard guard(this->lock);
     return this->accounts[key].price();
 }
 
-auto version_policy::book(
+auto version_policy::update_quality_account(
     const account_key& key,
     const policy::choice& made,
     const std::vector<policy::option>& options,
@@ -162,29 +163,28 @@
 
 auto version_policy::choose_among(
     const inventory::state& current,
-    const version_question& question,
+    const version_query& query,
     const std::vector<const inventory::version*>& candidates,
     double chance) -> common::result<version_decision>
 {
-    const auto options = this->options_for(current, question, candidates);
-    const auto* rule = rule_of(current, question);
+    const auto options = this->options_for(current, query, candidates);
+    const auto* rule = rule_of(current, query);
     // Tasks are named by callers, so accounts are only kept for those that a rule names.
-    const account_key key{
-        question.organisation, rule == nullptr ? common::task_name() : rule->task};
+    const account_key key{query.organisation, rule == nullptr ? common::task_name() : rule->task};
     policy::choice_input input;
     input.options = options;
     input.may_cascade = false;
-    input.explore_share = question.for_session ? 0.0 : this->settings.explore_share;
+    input.explore_share = query.for_session ? 0.0 : this->settings.explore_share;
     input.chance = chance;
     if (rule != nullptr) {
         input.quality_target = static_cast<double>(rule->quality_target.value()) / permille;
-        input.quality_price = this->price_of_quality(key);
+        input.quality_price = this->quality_price_of(key);
     }
     const auto made = policy::choose(input);
     if (!made) {
         return common::failure(common::result_code::no_capacity, "no version fits the request");
     }
-    this->book(key, *made, options, input.quality_target);
+    this->update_quality_account(key, *made, options, input.quality_target);
     version_decision decision;
     decision.version = made->key.first;
     decision.reason = std::string(policy::to_string(made->reason));
@@ -196,19 +196,19 @@
     return decision;
 }
 
-auto version_policy::follow_rollouts(
+auto version_policy::apply_rollout_share(
     const inventory::state& current,
-    const version_question& question,
+    const version_query& query,
     const std::vector<const inventory::version*>& eligible,
     version_decision decision) const -> version_decision
 {
     for (const auto& [id, item] : current.rollouts) {
         const auto is_running = item.status == inventory::rollout_status::running;
-        if (!is_running || item.from != decision.version || !holds(eligible, item.to)) {
+        if (!is_running || item.from != decision.version || !contains_version(eligible, item.to)) {
             continue;
         }
         if (this->rollouts.alarmed(item.to) ||
-            !policy::in_share(share_hash(question, id), item.share)) {
+            !policy::in_share(share_hash(query, id), item.share)) {
             continue;
         }
         decision.runner_up = item.from;
@@ -230,7 +230,7 @@
     }
     const auto failed = report.end != attempt_end::answered;
     this->own_evidence.on_run(
-        current, {report.version, failed, report.took > this->settings.slow_after});
+        current, {report.version, failed, report.elapsed > this->settings.slow_after});
 }
 
 auto version_policy::on_submitted(const common::request_id& request, control::rated_answer answer)
@@ -264,9 +264,9 @@
     return this->own_evidence.report();
 }
 
-auto version_policy::take_evidence(const messages::gossip& news) -> void
+auto version_policy::apply_evidence(const messages::gossip& gossip) -> void
 {
-    this->board.take(news);
+    this->board.take(gossip);
 }
 
 auto version_policy::tick(
--- a/source/core/entry/version_policy.hpp
+++ b/source/core/entry/version_policy.hpp
@@ -14,7 +14,7 @@
 #include "control/evidence_board.hpp"
 #include "control/evidence_source.hpp"
 #include "control/rollout.hpp"
-#include "entry/collaborators.hpp"
+#include "entry/core_hooks.hpp"
 #include "inventory/state.hpp"
 #include "messages/peer.hpp"
 #include "platform/hooks.hpp"
@@ -41,9 +41,9 @@
 public:
     explicit version_policy(version_policy_settings wanted);
 
-    /// `collaborators::choose_version`; `chance` is uniform in [0, 1). Errors: those of
+    /// `core_hooks::choose_version`; `chance` is uniform in [0, 1). Errors: those of
     /// `eligible_versions`, and `organisation_not_allowed` when all are above the price ceiling.
-    auto choose(const inventory::state& current, const version_question& question, double chance)
+    auto choose(const inventory::state& current, const version_query& query, double chance)
         -> common::result<version_decision>;
 
     /// An attempt has ended.
@@ -59,7 +59,7 @@
     [[nodiscard]] auto evidence() const -> std::vector<messages::version_evidence>;
 
     /// Takes in an entry's evidence, this one's too.
-    auto take_evidence(const messages::gossip& news) -> void;
+    auto apply_evidence(const messages::gossip& gossip) -> void;
 
     /// Looks at the roll-outs; call it each second. `rank` is this entry's place among all.
     auto tick(const inventory::state& current, std::uint32_t rank, common::time_point now)
@@ -70,22 +70,22 @@
 
     auto choose_among(
         const inventory::state& current,
-        const version_question& question,
+        const version_query& query,
         const std::vector<const inventory::version*>& candidates,
         double chance) -> common::result<version_decision>;
     auto options_for(
         const inventory::state& current,
-        const version_question& question,
+        const version_query& query,
         const std::vector<const inventory::version*>& candidates) -> std::vector<policy::option>;
-    auto price_of_quality(const account_key& key) -> double;
-    auto book(
+    auto quality_price_of(const account_key& key) -> double;
+    auto update_quality_account(
         const account_key& key,
         const policy::choice& made,
         const std::vector<policy::option>& options,
         double target) -> void;
-    auto follow_rollouts(
+    auto apply_rollout_share(
         const inventory::state& current,
-        const version_question& question,
+        const version_query& query,
         const std::vector<const inventory::version*>& eligible,
         version_decision decision) const -> version_decision;
 
--- a/source/entry/administration.cpp
+++ b/source/entry/administration.cpp
@@ -59,14 +59,14 @@
 {
     const auto self = this->shared_from_this();
     entry::admin_hooks made;
-    made.publish = [self](const std::string& text, entry::text_answer_hook done) {
+    made.publish = [self](const std::string& text, entry::text_response_hook done) {
         self->publish(text, std::move(done));
     };
     made.withdraw = [self](const common::version_id& version, const auto& done) {
         self->withdraw(version, done);
     };
     made.state = [self]() -> common::result<std::string> {
-        return inventory::state_text(*self->with.follower->snapshot());
+        return inventory::state_text(*self->deps.follower->snapshot());
     };
     made.history = [self]() -> common::result<std::string> {
         return self->history();
@@ -74,22 +74,22 @@
     made.status = [self]() -> common::result<std::string> {
         return self->status();
     };
-    made.bills = [self](entry::text_answer_hook done) {
+    made.bills = [self](entry::text_response_hook done) {
         self->read_bills(std::move(done));
     };
     return made;
 }
 
-auto administration::publish(const std::string& text, entry::text_answer_hook done) -> void
+auto administration::publish(const std::string& text, entry::text_response_hook done) -> void
 {
     const auto record = inventory::parse_record(text);
     if (!record) {
         done(tl::unexpected(record.error()));
         return;
     }
-    this->with.publisher->publish(
+    this->deps.publisher->publish(
         *record,
-        this->with.now() + this->with.publish_limit,
+        this->deps.now() + this->deps.publish_timeout,
         [done = std::move(done)](const common::result<inventory::publication>& answer) {
             if (!answer) {
                 done(tl::unexpected(answer.error()));
@@ -103,11 +103,11 @@
 }
 
 auto administration::withdraw(
-    const common::version_id& version, const entry::text_answer_hook& done) -> void
+    const common::version_id& version, const entry::text_response_hook& done) -> void
 {
-    const common::request_id random_id{this->with.random(), this->with.random()};
+    const common::request_id random_id{this->deps.random(), this->deps.random()};
     const common::record_id record("withdraw-" + common::to_string(random_id));
-    const auto taken = this->with.follower->withdraw(version, record, "operator");
+    const auto taken = this->deps.follower->withdraw(version, record, "operator");
     if (!taken) {
         done(tl::unexpected(taken.error()));
         return;
@@ -119,7 +119,7 @@
 {
     json::array records;
     json::array problems;
-    const auto state = this->with.follower->snapshot();
+    const auto state = this->deps.follower->snapshot();
     for (const auto& outcome : state->recent) {
         records.push_back(outcome_object(outcome));
     }
@@ -134,14 +134,14 @@
 
 auto administration::status() const -> std::string
 {
-    const auto state = this->with.follower->snapshot();
-    const auto counted = this->with.counters();
+    const auto state = this->deps.follower->snapshot();
+    const auto counters = this->deps.counters();
     json::object refusals;
-    for (const auto& [code, count] : counted.refusals) {
+    for (const auto& [code, count] : counters.refusals) {
         refusals[common::row_of(code).name] = count;
     }
     json::object versions;
-    for (const auto& [version, count] : counted.versions) {
+    for (const auto& [version, count] : counters.versions) {
         versions[version.value()] = count;
     }
     json::array withdrawn;
@@ -151,17 +151,17 @@
     for (const auto& version : state->withdrawn_early) {
         withdrawn.emplace_back(version.value());
     }
-    const auto now = this->with.now();
+    const auto now = this->deps.now();
     return json::serialize(json::object{
-        {"host", this->with.self.value()},
-        {"ready", this->with.ready()},
+        {"host", this->deps.self.value()},
+        {"ready", this->deps.ready()},
         {"offset", state->offset.value()},
-        {"current_for_ms", milliseconds_until(this->with.follower->current_until(), now)},
-        {"in_flight", counted.in_flight},
-        {"answered", counted.answered},
-        {"retries", counted.retries},
-        {"continued_streams", counted.continued_streams},
-        {"late_events", counted.late_events},
+        {"current_for_ms", milliseconds_until(this->deps.follower->current_until(), now)},
+        {"in_flight", counters.in_flight},
+        {"answered", counters.answered},
+        {"retries", counters.retries},
+        {"continued_streams", counters.continued_streams},
+        {"late_events", counters.late_events},
         {"refusals", std::move(refusals)},
         {"versions", std::move(versions)},
         {"withdrawn", std::move(withdrawn)}});
@@ -187,14 +187,14 @@
         {"versions", totals_by(this->ledger.by_version())}});
 }
 
-auto administration::read_bills(entry::text_answer_hook done) -> void
+auto administration::read_bills(entry::text_response_hook done) -> void
 {
     common::log_offset after;
     {
         const std::lock_guard guard(this->lock);
         after = this->ledger.offset();
     }
-    this->with.log.read(
+    this->deps.log.read(
         platform::streams::bills,
         after,
         std::chrono::milliseconds(0),
--- a/source/entry/administration.hpp
+++ b/source/entry/administration.hpp
@@ -20,7 +20,7 @@
 /// What operators ask of this entry.
 class administration : public std::enable_shared_from_this<administration> {
 public:
-    struct parts {
+    struct dependencies {
         common::host_id self;
         std::shared_ptr<inventory::follower> follower;
         std::shared_ptr<inventory::publisher> publisher;
@@ -28,25 +28,25 @@
         common::clock_hook now;
         common::wall_clock_hook wall_now;
         common::random_hook random;
-        std::chrono::milliseconds publish_limit{};
+        std::chrono::milliseconds publish_timeout{};
         std::function<auto()->entry::core_counters> counters;
         std::function<auto()->bool> ready;
     };
 
-    explicit administration(parts given) : with(std::move(given)) {}
+    explicit administration(dependencies given) : deps(std::move(given)) {}
 
     auto hooks() -> entry::admin_hooks;
 
 private:
-    auto publish(const std::string& text, entry::text_answer_hook done) -> void;
-    auto withdraw(const common::version_id& version, const entry::text_answer_hook& done) -> void;
+    auto publish(const std::string& text, entry::text_response_hook done) -> void;
+    auto withdraw(const common::version_id& version, const entry::text_response_hook& done) -> void;
     auto history() const -> std::string;
     auto status() const -> std::string;
     /// Reads the stream of bills on from where the last reading ended.
-    auto read_bills(entry::text_answer_hook done) -> void;
+    auto read_bills(entry::text_response_hook done) -> void;
     auto bills_text() -> std::string;
 
-    const parts with;
+    const dependencies deps;
     std::mutex lock;
     billing::ledger ledger;
 };
--- a/source/entry/claim_route.cpp
+++ b/source/entry/claim_router.cpp
@@ -1,4 +1,4 @@
-#include "claim_route.hpp"
+#include "claim_router.hpp"
 
 #include <utility>
 
@@ -7,81 +7,81 @@
 namespace {
 
 /// Keepers asked to decide on a name.
-constexpr std::size_t name_tries = 2;
+constexpr std::size_t max_name_attempts = 2;
 
 } // namespace
 
-auto claim_route::ask_keeper(
+auto claim_router::call_arbiter(
     std::size_t rank,
     messages::claim_request wanted,
     messages::answer_hook<messages::claim_answer> done) -> void
 {
-    const auto order = this->with.keepers->order_for(wanted, rank + 1);
+    const auto order = this->deps.claim_arbiters->order_for(wanted, rank + 1);
     if (rank >= order.size()) {
         done(common::failure(common::result_code::peer_unavailable, "no further entry"));
         return;
     }
-    const auto& keeper = order[rank];
-    if (keeper == this->with.self) {
-        this->with.keepers->claim(std::move(wanted), std::move(done));
+    const auto& arbiter = order[rank];
+    if (arbiter == this->deps.self) {
+        this->deps.claim_arbiters->claim(std::move(wanted), std::move(done));
         return;
     }
-    const auto address = this->with.hosts->address_of(keeper);
+    const auto address = this->deps.hosts->address_of(arbiter);
     if (address.value().empty()) {
         done(common::failure(common::result_code::peer_unavailable, "no address of the keeper"));
         return;
     }
-    this->with.peers.claim(address, std::move(wanted), std::move(done));
+    this->deps.peers.claim(address, std::move(wanted), std::move(done));
 }
 
-auto claim_route::ask_agent(
+auto claim_router::query_agent(
     const common::server_id& server,
     const messages::outcome_query& query,
     messages::answer_hook<messages::outcome_answer> done) -> void
 {
-    const auto found = this->with.members->find(server);
+    const auto found = this->deps.members->find(server);
     if (!found || found->rpc.value().empty()) {
         done(common::failure(common::result_code::not_found, "no address of the agent"));
         return;
     }
-    this->with.agents.ask(found->rpc, query, std::move(done));
+    this->deps.agents.ask(found->rpc, query, std::move(done));
 }
 
-auto claim_route::claim_key(
+auto claim_router::claim_key(
     messages::claim_request wanted,
     common::time_point deadline,
     std::function<auto(claims::claim_end end)->void> done) -> void
 {
     claims::client_hooks hooks;
-    hooks.now = this->with.now;
-    hooks.timer = this->with.timer;
+    hooks.now = this->deps.now;
+    hooks.timer = this->deps.timer;
     hooks.claim = [self = this->shared_from_this()](
                       std::size_t rank,
                       messages::claim_request claim,
                       messages::answer_hook<messages::claim_answer> answer) {
-        self->ask_keeper(rank, std::move(claim), std::move(answer));
+        self->call_arbiter(rank, std::move(claim), std::move(answer));
     };
     hooks.ask = [self = this->shared_from_this()](
                     const common::server_id& server,
                     const messages::outcome_query& query,
                     messages::answer_hook<messages::outcome_answer> answer) {
-        self->ask_agent(server, query, std::move(answer));
+        self->query_agent(server, query, std::move(answer));
     };
     claims::claim_key({}, hooks, std::move(wanted), deadline, std::move(done));
 }
 
-auto claim_route::claim_name(
+auto claim_router::claim_name(
     messages::claim_request wanted, messages::answer_hook<messages::claim_answer> done) -> void
 {
-    this->name_from(0, std::move(wanted), std::move(done));
+    this->claim_name_from(0, std::move(wanted), std::move(done));
 }
 
-auto claim_route::name_from(
+auto claim_router::claim_name_from(
     std::size_t rank,
     messages::claim_request wanted,
     messages::answer_hook<messages::claim_answer> done) -> void
 {
-    this->ask_keeper(
+    this->call_arbiter(
         rank,
         wanted,
         [self = this->shared_from_this(), rank, wanted, done = std::move(done)](
@@ -90,8 +90,8 @@
                 done(std::move(answer));
                 return;
             }
-            if (rank + 1 < name_tries) {
-                self->name_from(rank + 1, wanted, done);
+            if (rank + 1 < max_name_attempts) {
+                self->claim_name_from(rank + 1, wanted, done);
                 return;
             }
             done(common::failure(common::result_code::claims_unavailable));
--- a/source/entry/claim_route.hpp
+++ b/source/entry/claim_router.hpp
@@ -12,11 +12,11 @@
 namespace reedramp::entry_program {
 
 /// Brings claims to the entry that keeps their partition, which may be this one.
-class claim_route : public std::enable_shared_from_this<claim_route> {
+class claim_router : public std::enable_shared_from_this<claim_router> {
 public:
-    struct parts {
+    struct dependencies {
         common::host_id self;
-        std::shared_ptr<claims::keeper_set> keepers;
+        std::shared_ptr<claims::keeper_set> claim_arbiters;
         std::shared_ptr<membership::host_watch> hosts;
         std::shared_ptr<membership::view> members;
         messages::peer_calls peers;
@@ -25,34 +25,34 @@
         common::timer_hook timer;
     };
 
-    explicit claim_route(parts given) : with(std::move(given)) {}
+    explicit claim_router(dependencies given) : deps(std::move(given)) {}
 
-    /// For `entry::collaborators::claim`.
+    /// For `entry::core_hooks::claim`.
     auto claim_key(
         messages::claim_request wanted,
         common::time_point deadline,
         std::function<auto(claims::claim_end end)->void> done) -> void;
 
-    /// For `entry::collaborators::claim_name`: the first keeper that answers decides.
+    /// For `entry::core_hooks::claim_name`: the first keeper that answers decides.
     auto
     claim_name(messages::claim_request wanted, messages::answer_hook<messages::claim_answer> done)
         -> void;
 
 private:
-    auto ask_keeper(
+    auto call_arbiter(
         std::size_t rank,
         messages::claim_request wanted,
         messages::answer_hook<messages::claim_answer> done) -> void;
-    auto ask_agent(
+    auto query_agent(
         const common::server_id& server,
         const messages::outcome_query& query,
         messages::answer_hook<messages::outcome_answer> done) -> void;
-    auto name_from(
+    auto claim_name_from(
         std::size_t rank,
         messages::claim_request wanted,
         messages::answer_hook<messages::claim_answer> done) -> void;
 
-    const parts with;
+    const dependencies deps;
 };
 
 } // namespace reedramp::entry_program
--- a/source/entry/entry_metrics.hpp
+++ b/source/entry/entry_metrics.hpp
@@ -6,8 +6,8 @@
 
 #include "billing/collector.hpp"
 #include "claims/keeper_set.hpp"
-#include "entry/collaborators.hpp"
 #include "entry/core.hpp"
+#include "entry/core_hooks.hpp"
 #include "inventory/follower.hpp"
 #include "metrics/registry.hpp"
 
@@ -23,24 +23,24 @@
         const entry::core& core;
         const inventory::follower& follower;
         const billing::collector& bills;
-        const claims::keeper_set& keepers;
+        const claims::keeper_set& claim_arbiters;
     };
 
     auto text(const sources& from) -> std::string;
 
 private:
-    auto raise(
+    auto update_counter(
         const std::string& name,
         const char* help,
         const metrics::labels& which,
         std::uint64_t total) -> void;
-    auto show(const char* name, const char* help, std::uint64_t value) -> void;
-    auto read_core(const entry::core_counters& counted) -> void;
+    auto update_gauge(const char* name, const char* help, std::uint64_t value) -> void;
+    auto update_core_counters(const entry::core_counters& counters) -> void;
 
     metrics::registry registry;
     std::mutex lock;
     /// Totals at the last reading, since the registry's counters take differences.
-    std::map<std::string, std::uint64_t> shown;
+    std::map<std::string, std::uint64_t> reported_totals;
 };
 
 } // namespace reedramp::entry_program
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -32,15 +32,16 @@
     return rows;
 }
 
-auto limits_of(const inventory::state& state) -> std::map<common::organisation_id, limits::amounts>
+auto limits_per_minute(const inventory::state& state)
+    -> std::map<common::organisation_id, limits::amounts>
 {
     std::map<common::organisation_id, limits::amounts> found;
     for (const auto& [id, owner] : state.organisations) {
-        limits::amounts a_minute;
-        a_minute.requests = static_cast<double>(owner.limits.requests);
-        a_minute.tokens = static_cast<double>(owner.limits.tokens.value());
-        a_minute.money = static_cast<double>(owner.limits.money.value());
-        found[id] = a_minute;
+        limits::amounts per_minute;
+        per_minute.requests = static_cast<double>(owner.limits.requests);
+        per_minute.tokens = static_cast<double>(owner.limits.tokens.value());
+        per_minute.money = static_cast<double>(owner.limits.money.value());
+        found[id] = per_minute;
     }
     return found;
 }
@@ -82,7 +83,7 @@
     }
     this->hosts->start();
     this->follower->start();
-    this->tick_later();
+    this->schedule_tick();
     return {};
 }
 
@@ -127,7 +128,7 @@
     placing.random = daemon::random_bits;
     placing.probe = this->peers->agents().probe;
     this->placer = entry::placer::create(this->settings.placer, std::move(placing), this->members);
-    this->shares = std::make_unique<limits::share_keeper>(
+    this->limiter = std::make_unique<limits::share_keeper>(
         limits::share_settings{this->settings.self.host, this->settings.self.data_centre},
         daemon::random_bits());
 }
@@ -161,26 +162,26 @@
 
 auto entry_process::make_claims() -> void
 {
-    this->keepers = std::make_shared<claims::keeper_set>(
+    this->claim_arbiters = std::make_shared<claims::keeper_set>(
         claims::keeper_set_config{this->settings.self.host},
         claims::keeper_hooks{
             this->log, daemon::boot_time, this->threads.timers(), daemon::random_bits});
-    claim_route::parts route;
+    claim_router::dependencies route;
     route.self = this->settings.self.host;
-    route.keepers = this->keepers;
+    route.claim_arbiters = this->claim_arbiters;
     route.hosts = this->hosts;
     route.members = this->members;
     route.peers = this->peers->peers();
     route.agents = this->peers->agents();
     route.now = daemon::boot_time;
     route.timer = this->threads.timers();
-    this->claiming = std::make_shared<claim_route>(std::move(route));
+    this->claim_routing = std::make_shared<claim_router>(std::move(route));
 }
 
 auto entry_process::make_bills() -> void
 {
     billing::collector_config config;
-    config.full_bytes = this->settings.bills_bytes;
+    config.full_bytes = this->settings.pending_bills_limit_bytes;
     billing::collector_hooks hooks;
     hooks.log = this->log;
     hooks.now = daemon::boot_time;
@@ -199,84 +200,85 @@
     this->bills = billing::collector::create(config, std::move(hooks));
 }
 
-auto entry_process::connect_rules(entry::collaborators& parts) -> void
+auto entry_process::set_policy_hooks(entry::core_hooks& hooks) -> void
 {
-    parts.snapshot = [from = this->follower]() -> inventory::snapshot_ptr {
+    hooks.snapshot = [from = this->follower]() -> inventory::snapshot_ptr {
         return from->ready() ? from->snapshot() : nullptr;
     };
-    parts.current_until = [from = this->follower] {
+    hooks.current_until = [from = this->follower] {
         return from->current_until();
     };
-    parts.knows_servers = [this] {
+    hooks.knows_servers = [this] {
         return this->readiness.update(
             this->follower->ready() && this->follower->snapshot()->offset.value() > 0,
             this->members->coverage(),
             daemon::boot_time());
     };
-    parts.keys = this->settings.session_keys;
-    parts.choose_version = [this](
-                               const inventory::state& current,
-                               const entry::version_question& question) {
-        return this->versions->choose(current, question, common::random_unit(daemon::random_bits));
-    };
-    parts.take_limits = [this](const common::organisation_id& id, const limits::amounts& expected) {
-        return this->shares->admit(id, expected, daemon::boot_time());
-    };
-    parts.settle_limits = [this](
+    hooks.keys = this->settings.session_keys;
+    hooks.choose_version =
+        [this](const inventory::state& current, const entry::version_query& query) {
+            return this->versions->choose(current, query, common::random_unit(daemon::random_bits));
+        };
+    hooks.reserve_limits =
+        [this](const common::organisation_id& id, const limits::amounts& expected) {
+            return this->limiter->admit(id, expected, daemon::boot_time());
+        };
+    hooks.settle_limits = [this](
                               const common::organisation_id& id,
                               const limits::amounts& expected,
                               const limits::amounts& used) {
-        this->shares->settle(id, expected, used);
+        this->limiter->settle(id, expected, used);
     };
 }
 
-auto entry_process::connect_accounts(entry::collaborators& parts) -> void
+auto entry_process::set_accounting_hooks(entry::core_hooks& hooks) -> void
 {
-    parts.claim = [route = this->claiming](
+    hooks.claim = [route = this->claim_routing](
                       messages::claim_request claim, common::time_point deadline, auto done) {
         route->claim_key(std::move(claim), deadline, std::move(done));
     };
-    parts.claim_name = [route = this->claiming](messages::claim_request claim, auto done) {
+    hooks.claim_name = [route = this->claim_routing](messages::claim_request claim, auto done) {
         route->claim_name(std::move(claim), std::move(done));
     };
-    parts.accepts_bills = [to = this->bills] {
+    hooks.accepts_bills = [to = this->bills] {
         return to->accepts_work();
     };
-    parts.bill = [to = this->bills](messages::bill item) {
+    hooks.add_bill = [to = this->bills](messages::bill item) {
         to->add(std::move(item));
     };
-    parts.rate = [this](entry::rated_chat item) {
-        this->rate(std::move(item));
+    hooks.submit_for_rating = [this](entry::rated_chat item) {
+        this->submit_for_rating(std::move(item));
     };
-    parts.metrics_text = [this] {
-        return this->metrics.text({*this->core, *this->follower, *this->bills, *this->keepers});
+    hooks.metrics_text = [this] {
+        return this->metrics.text(
+            {*this->core, *this->follower, *this->bills, *this->claim_arbiters});
     };
 }
 
-auto entry_process::core_parts() -> entry::collaborators
+auto entry_process::make_core_hooks() -> entry::core_hooks
 {
-    entry::collaborators parts;
-    parts.now = daemon::boot_time;
-    parts.wall_now = daemon::wall_time;
-    parts.random = daemon::random_bits;
-    parts.timer = this->threads.timers();
-    parts.agents = this->peers->agents();
-    this->connect_rules(parts);
-    this->connect_accounts(parts);
-    parts.place = [by = this->placer](entry::placement_question question, auto done) {
-        by->place(std::move(question), std::move(done));
+    entry::core_hooks hooks;
+    hooks.now = daemon::boot_time;
+    hooks.wall_now = daemon::wall_time;
+    hooks.random = daemon::random_bits;
+    hooks.timer = this->threads.timers();
+    hooks.agents = this->peers->agents();
+    this->set_policy_hooks(hooks);
+    this->set_accounting_hooks(hooks);
+    hooks.place = [by = this->placer](entry::placement_query query, auto done) {
+        by->place(std::move(query), std::move(done));
     };
-    parts.attempt_ended = [this](const entry::attempt_report& report) {
+    hooks.attempt_ended = [this](const entry::attempt_report& report) {
         this->placer->attempt_ended(report);
         this->versions->on_attempt(*this->follower->snapshot(), report);
         this->metrics.count_attempt(report);
     };
-    return parts;
+    return hooks;
 }
 
 auto entry_process::make_core() -> void
 {
-    administration::parts about;
+    administration::dependencies about;
     about.self = this->settings.self.host;
     about.follower = this->follower;
     about.publisher = this->publisher;
@@ -284,7 +286,7 @@
     about.now = daemon::boot_time;
     about.wall_now = daemon::wall_time;
     about.random = daemon::random_bits;
-    about.publish_limit = this->settings.publish_limit;
+    about.publish_timeout = this->settings.publish_timeout;
     about.counters = [this] {
         return this->core->counters();
     };
@@ -294,7 +296,7 @@
     this->admin = std::make_shared<administration>(std::move(about));
     this->core = entry::core::create(
         this->settings.core,
-        this->core_parts(),
+        this->make_core_hooks(),
         entry::admin_api(this->settings.operator_key_hashes, this->admin->hooks()));
 }
 
@@ -311,16 +313,17 @@
                        const messages::answer_hook<messages::configuration_push>& done) {
         done(from->answer(pull));
     };
-    offered.claim = [to = this->keepers](messages::claim_request claim, auto done) {
+    offered.claim = [to = this->claim_arbiters](messages::claim_request claim, auto done) {
         to->claim(std::move(claim), std::move(done));
     };
     offered.hand_over = [to = this->bills](messages::bill_handover items, auto done) {
         to->receive(std::move(items), std::move(done));
     };
-    offered.talk =
-        [this](const messages::gossip& news, const messages::answer_hook<messages::gossip>& done) {
-            done(this->answer_gossip(news));
-        };
+    offered.talk = [this](
+                       const messages::gossip& gossip,
+                       const messages::answer_hook<messages::gossip>& done) {
+        done(this->answer_gossip(gossip));
+    };
     auto opened = wire::rpc_server::start(std::move(options), {}, std::move(offered));
     if (!opened) {
         return tl::unexpected(opened.error());
@@ -358,23 +361,23 @@
 auto entry_process::configuration_changed(const inventory::snapshot_ptr& state) -> void
 {
     const std::lock_guard guard(this->configuration_lock);
-    if (state->offset < this->configured) {
+    if (state->offset < this->configured_offset) {
         return;
     }
-    this->configured = state->offset;
+    this->configured_offset = state->offset;
     this->members->update_servers(server_rows(*state));
-    this->shares->set_limits(limits_of(*state));
+    this->limiter->set_limits(limits_per_minute(*state));
 }
 
 auto entry_process::entries_changed(std::vector<common::host_id> entries) -> void
 {
-    this->keepers->update_entries(std::move(entries));
+    this->claim_arbiters->update_entries(std::move(entries));
     std::vector<limits::entry_peer> sharing;
     sharing.push_back({this->settings.self.host, this->settings.self.data_centre});
     for (const auto& peer : this->hosts->entries()) {
         sharing.push_back({peer.host, peer.data_centre});
     }
-    this->shares->set_entries(std::move(sharing));
+    this->limiter->set_entries(std::move(sharing));
 }
 
 } // namespace reedramp::entry_program
--- a/source/entry/entry_process.hpp
+++ b/source/entry/entry_process.hpp
@@ -9,7 +9,7 @@
 
 #include "administration.hpp"
 #include "billing/collector.hpp"
-#include "claim_route.hpp"
+#include "claim_router.hpp"
 #include "claims/keeper_set.hpp"
 #include "control/checkpointer.hpp"
 #include "daemon/io_pool.hpp"
@@ -31,7 +31,7 @@
 
 namespace reedramp::entry_program {
 
-/// The whole process: connects the core and its parts to sockets, threads and timers. It decides
+/// The whole process: connects the core and its hooks to sockets, threads and timers. It decides
 /// nothing.
 class entry_process {
 public:
@@ -62,27 +62,27 @@
     auto make_claims() -> void;
     auto make_bills() -> void;
     auto make_core() -> void;
-    auto core_parts() -> entry::collaborators;
-    auto connect_rules(entry::collaborators& parts) -> void;
-    auto connect_accounts(entry::collaborators& parts) -> void;
+    auto make_core_hooks() -> entry::core_hooks;
+    auto set_policy_hooks(entry::core_hooks& hooks) -> void;
+    auto set_accounting_hooks(entry::core_hooks& hooks) -> void;
     auto open_rpc() -> common::result<void>;
     auto open_http() -> common::result<void>;
 
     auto configuration_changed(const inventory::snapshot_ptr& state) -> void;
     auto entries_changed(std::vector<common::host_id> entries) -> void;
-    auto tick_later() -> void;
+    auto schedule_tick() -> void;
     auto send_gossip() -> void;
-    auto send_news(const messages::rpc_address& to, messages::gossip news) -> void;
-    auto make_news() -> messages::gossip;
-    auto answer_gossip(const messages::gossip& news) -> messages::gossip;
+    auto send_gossip_to(const messages::rpc_address& to, messages::gossip gossip) -> void;
+    auto make_gossip() -> messages::gossip;
+    auto answer_gossip(const messages::gossip& gossip) -> messages::gossip;
     auto fetch_ratings() -> void;
-    auto move_rollouts() -> void;
+    auto advance_rollouts() -> void;
     auto append_checkpoint() -> void;
     auto propose(const control::rollout_action& action) -> void;
-    auto rate(entry::rated_chat item) -> void;
-    auto wait_for_callers(common::time_point limit, std::function<auto()->void> done) -> void;
-    auto leave(std::size_t cut, std::function<auto(std::size_t cut)->void> done) -> void;
-    auto settle_bills(common::time_point limit, std::function<auto()->void> done) -> void;
+    auto submit_for_rating(entry::rated_chat item) -> void;
+    auto wait_for_connections(common::time_point limit, std::function<auto()->void> done) -> void;
+    auto finish_shutdown(std::size_t cut, std::function<auto(std::size_t cut)->void> done) -> void;
+    auto flush_bills(common::time_point limit, std::function<auto()->void> done) -> void;
     auto hand_over_bills(std::function<auto()->void> done) -> void;
 
     const entry_settings settings;
@@ -98,10 +98,10 @@
     std::unique_ptr<wire::rpc_client> peers;
     std::shared_ptr<inventory::follower> follower;
     std::shared_ptr<inventory::publisher> publisher;
-    std::shared_ptr<claims::keeper_set> keepers;
-    std::shared_ptr<claim_route> claiming;
+    std::shared_ptr<claims::keeper_set> claim_arbiters;
+    std::shared_ptr<claim_router> claim_routing;
     std::shared_ptr<billing::collector> bills;
-    std::unique_ptr<limits::share_keeper> shares;
+    std::unique_ptr<limits::share_keeper> limiter;
     std::shared_ptr<administration> admin;
     std::unique_ptr<entry::version_policy> versions;
     std::shared_ptr<entry::core> core;
@@ -109,7 +109,7 @@
     std::atomic<std::uint64_t> ratings_read{0};
     std::atomic<bool> fetching_ratings{false};
     std::mutex configuration_lock;
-    common::log_offset configured;
+    common::log_offset configured_offset;
     std::unique_ptr<wire::rpc_server> rpc;
     std::unique_ptr<http::server> http;
 };
--- a/source/entry/entry_process_ticks.cpp
+++ b/source/entry/entry_process_ticks.cpp
@@ -19,72 +19,72 @@
 
 } // namespace
 
-auto entry_process::tick_later() -> void
+auto entry_process::schedule_tick() -> void
 {
     this->threads.timers()(daemon::boot_time() + tick_period, [this] {
         this->send_gossip();
         this->fetch_ratings();
-        this->move_rollouts();
+        this->advance_rollouts();
         this->append_checkpoint();
-        this->tick_later();
+        this->schedule_tick();
     });
 }
 
-auto entry_process::make_news() -> messages::gossip
+auto entry_process::make_gossip() -> messages::gossip
 {
-    messages::gossip news;
-    news.from = this->settings.self.host;
-    news.sequence = ++this->gossip_sequence;
-    news.configuration = this->follower->snapshot()->offset;
-    news.evidence = this->versions->evidence();
-    return news;
+    messages::gossip gossip;
+    gossip.from = this->settings.self.host;
+    gossip.sequence = ++this->gossip_sequence;
+    gossip.configuration = this->follower->snapshot()->offset;
+    gossip.evidence = this->versions->evidence();
+    return gossip;
 }
 
-auto entry_process::send_news(const messages::rpc_address& to, messages::gossip news) -> void
+auto entry_process::send_gossip_to(const messages::rpc_address& to, messages::gossip gossip) -> void
 {
     this->peers->peers().talk(
-        to, std::move(news), [this](const common::result<messages::gossip>& answer) {
+        to, std::move(gossip), [this](const common::result<messages::gossip>& answer) {
             if (!answer) {
                 return;
             }
-            this->versions->take_evidence(*answer);
-            this->shares->on_answer(answer->from, answer->demand, daemon::boot_time());
+            this->versions->apply_evidence(*answer);
+            this->limiter->on_answer(answer->from, answer->demand, daemon::boot_time());
         });
 }
 
 auto entry_process::send_gossip() -> void
 {
-    for (auto& report : this->shares->reports(daemon::boot_time())) {
+    for (auto& report : this->limiter->reports(daemon::boot_time())) {
         const auto address = this->hosts->address_of(report.to);
         if (address.value().empty()) {
             continue;
         }
-        auto news = this->make_news();
-        news.demand = std::move(report.rows);
-        this->send_news(address, std::move(news));
+        auto gossip = this->make_gossip();
+        gossip.demand = std::move(report.rows);
+        this->send_gossip_to(address, std::move(gossip));
     }
-    auto news = this->make_news();
-    this->versions->take_evidence(news);
-    if (news.evidence.empty()) {
+    auto gossip = this->make_gossip();
+    this->versions->apply_evidence(gossip);
+    if (gossip.evidence.empty()) {
         return;
     }
     auto others = this->hosts->entries();
     for (std::size_t count = 0; count < evidence_fan_out && !others.empty(); ++count) {
         std::swap(others[daemon::random_bits() % others.size()], others.back());
-        this->send_news(others.back().rpc, news);
+        this->send_gossip_to(others.back().rpc, gossip);
         others.pop_back();
     }
 }
 
-auto entry_process::answer_gossip(const messages::gossip& news) -> messages::gossip
+auto entry_process::answer_gossip(const messages::gossip& gossip) -> messages::gossip
 {
-    this->versions->take_evidence(news);
-    auto answer = this->make_news();
-    answer.demand = this->shares->on_report(news.from, news.demand, daemon::boot_time());
+    this->versions->apply_evidence(gossip);
+    auto answer = this->make_gossip();
+    answer.demand = this->limiter->on_report(gossip.from, gossip.demand, daemon::boot_time());
     return answer;
 }
 
-auto entry_process::rate(entry::rated_chat item) -> void
+auto entry_process::submit_for_rating(entry::rated_chat item) -> void
 {
     this->versions->on_submitted(item.request, {item.version, item.organisation, item.task});
     this->ratings.submit(item.request, std::move(item.question), std::move(item.answer));
@@ -106,7 +106,7 @@
         });
 }
 
-auto entry_process::move_rollouts() -> void
+auto entry_process::advance_rollouts() -> void
 {
     if (!this->follower->ready()) {
         return;
@@ -149,7 +149,7 @@
     }
     this->publisher->publish(
         *record,
-        daemon::boot_time() + this->settings.publish_limit,
+        daemon::boot_time() + this->settings.publish_timeout,
         [this, action, id = record->id](const common::result<inventory::publication>& answer) {
             const auto outcome = answer ? std::string("accepted")
                                         : std::string(common::row_of(answer.error().code).name);
--- a/source/entry/settings.cpp
+++ b/source/entry/settings.cpp
@@ -177,15 +177,15 @@
 {
     constexpr double permille = 1000.0;
     entry::core_options options;
-    options.headers.default_time = from.milliseconds("requests.deadline");
-    options.headers.longest_time = from.milliseconds("requests.longest_deadline");
+    options.headers.default_timeout = from.milliseconds("requests.deadline");
+    options.headers.max_timeout = from.milliseconds("requests.longest_deadline");
     options.attempt_limit = static_cast<std::uint32_t>(from.integer("requests.attempts"));
     options.retries.retries_per_first_try =
         static_cast<double>(from.integer("requests.retry_permille")) / permille;
     options.rate_every = static_cast<std::uint32_t>(from.integer("requests.rate_every"));
-    options.ask_limit = from.milliseconds("requests.ask_limit");
+    options.outcome_query_timeout = from.milliseconds("requests.ask_limit");
     options.request_limit = from.size("requests.limit");
-    options.session_life = from.milliseconds("sessions.life");
+    options.session_lifetime = from.milliseconds("sessions.life");
     options.session_wait = from.milliseconds("sessions.wait");
     options.backlog_high_bytes = from.size("streams.backlog_high");
     options.backlog_low_bytes = from.size("streams.backlog_low");
@@ -236,11 +236,11 @@
     read.log_timeout = from.milliseconds("platform.log_timeout");
     read.operator_key_hashes = from.texts("operators.key_hashes");
     read.session_keys = std::move(*ring);
-    read.publish_limit = from.milliseconds("operators.publish_limit");
-    read.shutdown_announce = from.milliseconds("shutdown.announce");
-    read.shutdown_limit = from.milliseconds("shutdown.limit");
-    read.bills_limit = from.milliseconds("shutdown.bills_limit");
-    read.bills_bytes = from.size("bills.limit");
+    read.publish_timeout = from.milliseconds("operators.publish_limit");
+    read.shutdown_announce_time = from.milliseconds("shutdown.announce");
+    read.shutdown_timeout = from.milliseconds("shutdown.limit");
+    read.bills_timeout = from.milliseconds("shutdown.bills_limit");
+    read.pending_bills_limit_bytes = from.size("bills.limit");
     read.core = core_of(from);
     read.placer.self = read.self;
     read.placer.subset = {from.size("servers.subset"), from.size("servers.elsewhere")};
--- a/source/entry/settings.hpp
+++ b/source/entry/settings.hpp
@@ -32,11 +32,11 @@
     std::chrono::milliseconds log_timeout{};
     std::vector<std::string> operator_key_hashes;
     session::key_ring session_keys;
-    std::chrono::milliseconds publish_limit{};
-    std::chrono::milliseconds shutdown_announce{};
-    std::chrono::milliseconds shutdown_limit{};
-    std::chrono::milliseconds bills_limit{};
-    std::size_t bills_bytes = 0;
+    std::chrono::milliseconds publish_timeout{};
+    std::chrono::milliseconds shutdown_announce_time{};
+    std::chrono::milliseconds shutdown_timeout{};
+    std::chrono::milliseconds bills_timeout{};
+    std::size_t pending_bills_limit_bytes = 0;
     entry::core_options core;
     entry::placer_settings placer;
 };
--- a/source/unit_tests/entry/admin_api_test.cpp
+++ b/source/unit_tests/entry/admin_api_test.cpp
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 
+#include "core_fixture.hpp"
 #include "entry/admin_api.hpp"
 #include "inventory/hash.hpp"
-#include "world.hpp"
 
 namespace reedramp::entry::test {
 
@@ -12,14 +12,14 @@
 auto make_hooks() -> admin_hooks
 {
     admin_hooks hooks;
-    hooks.publish = [](const std::string& record, const text_answer_hook& done) {
+    hooks.publish = [](const std::string& record, const text_response_hook& done) {
         if (record == "late") {
             done(common::failure(common::result_code::conflict, "record r1 by ann came first"));
             return;
         }
         done(R"({"offset":7})");
     };
-    hooks.withdraw = [](const common::version_id& version, const text_answer_hook& done) {
+    hooks.withdraw = [](const common::version_id& version, const text_response_hook& done) {
         done("\"" + version.value() + "\"");
     };
     hooks.state = []() -> common::result<std::string> {
@@ -74,7 +74,7 @@
 
 TEST_CASE("an entry explains its decisions, and an operator's key runs nothing", "[admin]")
 {
-    world test;
+    core_fixture test;
     test.operators = {inventory::sha256_hex("op")};
     test.restart();
     const auto caller = test.chat();
--- a/source/unit_tests/entry/callers_api_test.cpp
+++ b/source/unit_tests/entry/callers_api_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "world.hpp"
+#include "core_fixture.hpp"
 
 namespace reedramp::entry::test {
 
@@ -145,7 +145,7 @@
 {
     for (const auto& row : bad_inputs()) {
         INFO(row.name);
-        world test;
+        core_fixture test;
         const auto caller = test.call({row.method, row.target, row.headers, row.body, {}});
         CHECK(caller->answers == 1);
         CHECK(caller->head.status == row.status);
@@ -161,7 +161,7 @@
 
 TEST_CASE("a session token is bound to organisation, model and version", "[callers_api]")
 {
-    world test;
+    core_fixture test;
     const auto token = test.session_token("s1");
     const auto pinned = test.chat("", {{"Reedramp-Session", token}});
     REQUIRE(test.runs.size() == 1);
@@ -185,7 +185,7 @@
 
 TEST_CASE("models and sessions show only what the organisation may use", "[callers_api]")
 {
-    world test;
+    core_fixture test;
     test.change(
         [](auto& state) { state.withdrawn[common::version_id("s1")] = common::log_offset(2); });
     const auto models = test.call({"GET", "/v1/models", {bearer("key")}, "", {}});
@@ -205,7 +205,7 @@
 
 TEST_CASE("limits, room for bills and readiness refuse before anything is sent", "[callers_api]")
 {
-    world test;
+    core_fixture test;
     test.limit = common::make_error(common::result_code::limit_tokens);
     test.limit->retry_at = test.time.now() + std::chrono::milliseconds(2500);
     const auto limited = test.chat();
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
+#include "core_fixture.hpp"
 #include "entry/recovery.hpp"
-#include "world.hpp"
 
 namespace reedramp::entry::test {
 
@@ -81,14 +81,14 @@
     };
     for (const auto& row : rows) {
         INFO(row.name);
-        world test;
+        core_fixture test;
         test.outcome = row.outcome;
         const auto caller = test.service(row.method);
         test.run(0).fail(result_code::server_lost, execution::unknown);
         test.time.run_for(std::chrono::seconds(row.runs == 2 ? 1 : 31));
         REQUIRE(test.runs.size() == row.runs);
-        REQUIRE_FALSE(test.asked.empty());
-        CHECK(test.asked[0].query.refuse_if_unknown);
+        REQUIRE_FALSE(test.outcome_queries.empty());
+        CHECK(test.outcome_queries[0].query.refuse_if_unknown);
         if (row.runs == 2) {
             CHECK(test.run(1).address == "b");
             CHECK(test.run(1).request.key.attempt.value() == 2);
@@ -107,7 +107,7 @@
 // and when it gives up the caller hears so at once, truly `not_run` and with a time to come back.
 TEST_CASE("refusals are tried elsewhere, then told at once", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto start = test.time.now();
     const auto caller = test.service("POST");
     test.run(0).refuse(result_code::queue_full, std::chrono::seconds(7));
@@ -125,7 +125,7 @@
 // One attempt of an idempotent call may have run, then all others refuse. `not_run` would be a lie.
 TEST_CASE("one unknown attempt makes the whole unknown", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.service("GET");
     test.run(0).fail(result_code::server_lost, execution::unknown);
     REQUIRE(test.runs.size() == 2);
@@ -139,7 +139,7 @@
 // other, and no version is left to choose. The choice has seen no attempt; the request ran.
 TEST_CASE("a refusal by a filter that runs again counts the attempts before", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat();
     test.run(0).fail(result_code::server_failed, execution::ran);
     test.run(1).refuse(result_code::version_withdrawn);
@@ -154,7 +154,7 @@
 // caller sees each token once, and the bill has a line for each attempt.
 TEST_CASE("a lost engine is replaced in mid-stream", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat(streamed);
     test.run(0).tokens(0, 3);
     test.run(0).tokens(0, 3);
@@ -183,7 +183,7 @@
 // is ended instead and another server goes on from the gap.
 TEST_CASE("a gap is never passed on", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat(streamed);
     test.run(0).tokens(0, 2);
     test.run(0).tokens(4, 2);
@@ -200,7 +200,7 @@
 TEST_CASE("a stream that can not go on ends with an error event", "[faults]")
 {
     for (const auto text_limit : {std::size_t{1000}, std::size_t{4}}) {
-        world test;
+        core_fixture test;
         test.options.sent_text_limit_bytes = text_limit;
         test.restart();
         if (text_limit == 1000) {
@@ -255,7 +255,7 @@
     };
     for (const auto& row : rows) {
         INFO(row.problem);
-        world test;
+        core_fixture test;
         test.claim_end = row.end;
         const auto caller = test.service("POST", key_header());
         CHECK(test.runs.empty());
@@ -274,7 +274,7 @@
 // replaces the first, before anything is sent; else a retry elsewhere would not find this run.
 TEST_CASE("a claim comes before each try", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.service("POST", key_header());
     REQUIRE(test.claims.size() == 1);
     CHECK(test.claims[0].server.value() == "a");
@@ -297,7 +297,7 @@
 // agent. The session ends with a true `not_run`; a request without a session takes another version.
 TEST_CASE("a withdrawn version takes no new work", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto token = test.session_token("s2");
     const auto refused = test.chat("", {{"Reedramp-Session", token}});
     test.run(0).refuse(result_code::version_withdrawn);
@@ -323,7 +323,7 @@
 // what is stable; a session that is pinned to it goes on.
 TEST_CASE("a stale configuration opens nothing new on a sensitive version", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.change([](auto& state) { state.versions[common::version_id("s2")].sensitive = true; });
     test.current_until = test.time.now() - std::chrono::seconds(1);
     test.chat();
@@ -342,7 +342,7 @@
 // A session's version has no server for a while. It waits, since it can't move, and is then served.
 TEST_CASE("a session waits for a server of its version", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.servers.clear();
     const auto caller = test.chat("", {{"Reedramp-Session", test.session_token("s2")}});
     CHECK(test.chat()->problem_name() == "no_capacity");
@@ -357,7 +357,7 @@
 // says `unknown`; the run is cancelled and billed by what the agent says it used.
 TEST_CASE("a deadline ends a request once", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.outcome = outcome_of(outcome_state::failed);
     const auto caller = test.chat("", {{"Reedramp-Deadline-Ms", "500"}});
     CHECK(test.run(0).request.time_left == std::chrono::milliseconds(500));
@@ -375,7 +375,7 @@
 // been sent, so that memory stays bounded; one that never reads is cut.
 TEST_CASE("a slow caller holds its source back", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.options.backlog_high_bytes = 400;
     test.options.backlog_limit_bytes = 4000;
     test.restart();
@@ -399,7 +399,7 @@
 // billed once.
 TEST_CASE("a caller that leaves cancels its run", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat(streamed);
     test.run(0).tokens(0, 3);
     caller->leave();
@@ -416,7 +416,7 @@
 // still answered, and readiness follows as soon as the servers are known.
 TEST_CASE("an entry that knows no servers is not ready", "[faults]")
 {
-    world test;
+    core_fixture test;
     CHECK(test.subject->ready());
     test.knows_servers = false;
     CHECK_FALSE(test.subject->ready());
@@ -431,7 +431,7 @@
 // error event and counted, and from then on all is refused `not_run`.
 TEST_CASE("a graceful shutdown lets requests finish until its deadline", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto first = test.chat(streamed);
     const auto second = test.chat(streamed);
     test.run(1).tokens(0, 1);
@@ -462,7 +462,7 @@
 // the number of attempts.
 TEST_CASE("retries stay within the budget", "[faults]")
 {
-    world test;
+    core_fixture test;
     constexpr std::size_t calls = 200;
     for (std::size_t index = 0; index < calls; ++index) {
         const auto caller = test.service("POST");
@@ -483,35 +483,35 @@
     const auto now = common::time_point(std::chrono::seconds(100));
 
     struct row {
-        attempt_fate fate;
+        attempt_failure failure;
         repeat_rule repeat;
         result_code code;
-        recovery_step step;
+        recovery_action step;
     };
 
     const auto once = repeat_rule::at_most_once;
     const auto twice = repeat_rule::idempotent;
     const std::vector<row> rows{
-        {attempt_fate::refused, once, result_code::queue_full, recovery_step::try_again},
-        {attempt_fate::never_sent, once, result_code::peer_unavailable, recovery_step::try_again},
-        {attempt_fate::failed, once, result_code::server_failed, recovery_step::give_up},
-        {attempt_fate::unknown, once, result_code::server_lost, recovery_step::give_up},
-        {attempt_fate::failed, twice, result_code::server_failed, recovery_step::try_again},
-        {attempt_fate::unknown, twice, result_code::server_lost, recovery_step::try_again},
-        {attempt_fate::refused, twice, result_code::unknown_model, recovery_step::give_up},
+        {attempt_failure::refused, once, result_code::queue_full, recovery_action::retry},
+        {attempt_failure::never_sent, once, result_code::peer_unavailable, recovery_action::retry},
+        {attempt_failure::failed, once, result_code::server_failed, recovery_action::give_up},
+        {attempt_failure::unknown, once, result_code::server_lost, recovery_action::give_up},
+        {attempt_failure::failed, twice, result_code::server_failed, recovery_action::retry},
+        {attempt_failure::unknown, twice, result_code::server_lost, recovery_action::retry},
+        {attempt_failure::refused, twice, result_code::unknown_model, recovery_action::give_up},
     };
     for (const auto& row : rows) {
-        recovery_facts facts;
-        facts.fate = row.fate;
+        recovery_input facts;
+        facts.failure = row.failure;
         facts.repeat = row.repeat;
         facts.code = row.code;
         facts.attempt_limit = 4;
         facts.now = now;
-        facts.ask_until = now;
+        facts.query_until = now;
         facts.deadline = now + std::chrono::seconds(1);
-        CHECK(next_step(facts) == row.step);
+        CHECK(choose_recovery(facts) == row.step);
         facts.deadline = now;
-        CHECK(next_step(facts) == recovery_step::give_up);
+        CHECK(choose_recovery(facts) == recovery_action::give_up);
     }
 }
 
--- a/source/unit_tests/entry/world.cpp
+++ b/source/unit_tests/entry/core_fixture.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "core_fixture.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -226,7 +226,7 @@
 
 } // namespace
 
-world::world() : state(std::make_shared<inventory::state>(make_state()))
+core_fixture::core_fixture() : state(std::make_shared<inventory::state>(make_state()))
 {
     this->time.run_for(std::chrono::hours(1));
     for (const auto* id : {"a", "b", "c"}) {
@@ -235,12 +235,12 @@
     this->restart();
 }
 
-auto world::restart() -> void
+auto core_fixture::restart() -> void
 {
     this->subject = core::create(this->options, this->hooks(), admin_api(this->operators, {}));
 }
 
-auto world::change(const std::function<auto(inventory::state& state)->void>& edit) -> void
+auto core_fixture::change(const std::function<auto(inventory::state& state)->void>& edit) -> void
 {
     auto next = *this->state;
     next.offset = common::log_offset(next.offset.value() + 1);
@@ -248,11 +248,11 @@
     this->state = std::make_shared<inventory::state>(std::move(next));
 }
 
-auto world::place(const placement_question& question) -> common::result<placement_decision>
+auto core_fixture::place(const placement_query& query) -> common::result<placement_decision>
 {
     for (const auto& server : this->servers) {
-        const auto& tried = question.tried;
-        if (std::find(tried.begin(), tried.end(), server) == tried.end()) {
+        const auto& tried_servers = query.tried_servers;
+        if (std::find(tried_servers.begin(), tried_servers.end(), server) == tried_servers.end()) {
             return placement_decision{
                 server,
                 messages::rpc_address(server.value()),
@@ -264,18 +264,18 @@
     return common::failure(common::result_code::no_capacity);
 }
 
-auto world::hooks() -> collaborators
+auto core_fixture::hooks() -> core_hooks
 {
-    collaborators parts;
-    parts.now = this->time.clock();
-    parts.wall_now = [] {
+    core_hooks hooks;
+    hooks.now = this->time.clock();
+    hooks.wall_now = [] {
         return common::wall_time_ms(1'000'000);
     };
-    parts.random = [this] {
+    hooks.random = [this] {
         return ++this->random_state * 0x9e3779b97f4a7c15ULL;
     };
-    parts.timer = this->time.timers();
-    parts.agents.run = [this](
+    hooks.timer = this->time.timers();
+    hooks.agents.run = [this](
                            const messages::rpc_address& to,
                            messages::run_request request,
                            messages::run_sink sink) -> std::shared_ptr<messages::run_handle> {
@@ -286,52 +286,52 @@
         this->runs.push_back(made);
         return made;
     };
-    parts.agents.ask = [this](
+    hooks.agents.ask = [this](
                            const messages::rpc_address& to,
                            messages::outcome_query query,
                            const messages::answer_hook<messages::outcome_answer>& done) {
-        this->asked.push_back({to.value(), query});
+        this->outcome_queries.push_back({to.value(), query});
         done(this->outcome.value_or(common::failure(common::result_code::peer_unavailable)));
     };
-    parts.snapshot = [this] {
+    hooks.snapshot = [this] {
         return this->state;
     };
-    parts.knows_servers = [this] {
+    hooks.knows_servers = [this] {
         return this->knows_servers;
     };
-    parts.current_until = [this] {
+    hooks.current_until = [this] {
         return this->current_until;
     };
-    parts.keys.current = {session::key_id(1), std::string(session::min_secret_bytes, 'k')};
-    parts.choose_version = cheapest_version;
-    parts.place = [this](const placement_question& question, const auto& done) {
-        done(this->place(question));
+    hooks.keys.current = {session::key_id(1), std::string(session::min_secret_bytes, 'k')};
+    hooks.choose_version = cheapest_version;
+    hooks.place = [this](const placement_query& query, const auto& done) {
+        done(this->place(query));
     };
-    parts.claim = [this](messages::claim_request claim, common::time_point, const auto& done) {
+    hooks.claim = [this](messages::claim_request claim, common::time_point, const auto& done) {
         this->claims.push_back(claim);
         const claims::claim_end granted =
             claims::claim_granted{claim, common::log_offset(this->claims.size())};
         done(this->claim_end.value_or(granted));
     };
-    parts.take_limits = [this](const auto&, const auto&) -> common::result<void> {
+    hooks.reserve_limits = [this](const auto&, const auto&) -> common::result<void> {
         if (this->limit) {
             return tl::unexpected(*this->limit);
         }
         return {};
     };
-    parts.settle_limits = [this](const auto&, const auto&, const limits::amounts& used) {
+    hooks.settle_limits = [this](const auto&, const auto&, const limits::amounts& used) {
         this->settled = used;
     };
-    parts.accepts_bills = [this] {
+    hooks.accepts_bills = [this] {
         return this->accepts_bills;
     };
-    parts.bill = [this](messages::bill item) {
+    hooks.add_bill = [this](messages::bill item) {
         this->bills.push_back(std::move(item));
     };
-    return parts;
+    return hooks;
 }
 
-auto world::session_token(const std::string& version) -> std::string
+auto core_fixture::session_token(const std::string& version) -> std::string
 {
     const session::key_ring ring{
         {session::key_id(1), std::string(session::min_secret_bytes, 'k')}, std::nullopt};
@@ -344,14 +344,14 @@
         ring);
 }
 
-auto world::call(http::request request) -> std::shared_ptr<fake_caller>
+auto core_fixture::call(http::request request) -> std::shared_ptr<fake_caller>
 {
     auto caller = std::make_shared<fake_caller>();
     this->subject->handle(std::move(request), caller);
     return caller;
 }
 
-auto world::chat(const std::string& extra, std::vector<http::header> headers)
+auto core_fixture::chat(const std::string& extra, std::vector<http::header> headers)
     -> std::shared_ptr<fake_caller>
 {
     headers.push_back(bearer("key"));
@@ -360,7 +360,7 @@
     return this->call({"POST", "/v1/chat/completions", std::move(headers), body, {}});
 }
 
-auto world::service(const std::string& method, std::vector<http::header> headers)
+auto core_fixture::service(const std::string& method, std::vector<http::header> headers)
     -> std::shared_ptr<fake_caller>
 {
     headers.push_back(bearer("key"));
--- a/source/unit_tests/entry/world.hpp
+++ b/source/unit_tests/entry/core_fixture.hpp
@@ -84,7 +84,7 @@
 /// An engine's whole answer with this text.
 auto chat_body(const std::string& text) -> std::string;
 
-struct asked_outcome {
+struct sent_outcome_query {
     std::string address;
     messages::outcome_query query;
 };
@@ -92,9 +92,9 @@
 /// Organisation "org" with key "key": model "small" with version "s1" (dear) and "s2" (cheap),
 /// service "notes" (GET is idempotent); organisation "other" with key "other-key" and model "big"
 /// with version "b1". Servers "a", "b" and "c" serve everything.
-class world {
+class core_fixture {
 public:
-    world();
+    core_fixture();
 
     auto call(http::request request) -> std::shared_ptr<fake_caller>;
     auto chat(const std::string& extra = {}, std::vector<http::header> headers = {})
@@ -111,7 +111,7 @@
 
     platform::fake_time time;
     std::vector<std::shared_ptr<fake_run>> runs;
-    std::vector<asked_outcome> asked;
+    std::vector<sent_outcome_query> outcome_queries;
     /// What agents say when asked; unset: `peer_unavailable`.
     std::optional<common::result<messages::outcome_answer>> outcome;
     std::vector<messages::bill> bills;
@@ -133,10 +133,10 @@
     auto restart() -> void;
 
     /// The fakes as the core gets them.
-    auto hooks() -> collaborators;
+    auto hooks() -> core_hooks;
 
 private:
-    auto place(const placement_question& question) -> common::result<placement_decision>;
+    auto place(const placement_query& query) -> common::result<placement_decision>;
 
     inventory::snapshot_ptr state;
     std::uint64_t random_state = 1;
--- a/source/unit_tests/entry/core_threads_test.cpp
+++ b/source/unit_tests/entry/core_threads_test.cpp
@@ -5,7 +5,7 @@
 #include <mutex>
 #include <thread>
 
-#include "world.hpp"
+#include "core_fixture.hpp"
 
 namespace reedramp::entry::test {
 
@@ -105,33 +105,33 @@
 {
     constexpr int callers = 4;
     constexpr int calls = 200;
-    world test;
+    core_fixture test;
     workers agents(3);
     std::atomic<int> ended{0};
     std::atomic<int> bills{0};
-    auto parts = test.hooks();
-    parts.timer = [](common::time_point, const std::function<auto()->void>&) {
+    auto hooks = test.hooks();
+    hooks.timer = [](common::time_point, const std::function<auto()->void>&) {
     };
-    parts.random = [state = std::make_shared<std::atomic<std::uint64_t>>(1)] {
+    hooks.random = [state = std::make_shared<std::atomic<std::uint64_t>>(1)] {
         return state->fetch_add(1) * 0x9e3779b97f4a7c15ULL;
     };
-    parts.agents.run = [&](const auto&, const messages::run_request&, messages::run_sink sink) {
+    hooks.agents.run = [&](const auto&, const messages::run_request&, messages::run_sink sink) {
         agents.post([sink] {
             sink(messages::tokens_event{0, 2, "t0 t1 "});
             sink(messages::finished_event{});
         });
         return std::make_shared<fake_run>();
     };
-    parts.agents.ask =
+    hooks.agents.ask =
         [&](const auto&, const auto&, messages::answer_hook<messages::outcome_answer> done) {
             agents.post([done] { done(common::failure(common::result_code::peer_unavailable)); });
         };
-    parts.settle_limits = nullptr;
-    parts.take_limits = nullptr;
-    parts.bill = [&](const messages::bill&) {
+    hooks.settle_limits = nullptr;
+    hooks.reserve_limits = nullptr;
+    hooks.add_bill = [&](const messages::bill&) {
         ++bills;
     };
-    const auto subject = core::create({}, parts, {});
+    const auto subject = core::create({}, hooks, {});
     std::vector<std::thread> threads;
     threads.reserve(callers);
     std::atomic<int> left{0};
--- a/source/unit_tests/entry/placer_test.cpp
+++ b/source/unit_tests/entry/placer_test.cpp
@@ -56,14 +56,14 @@
         this->subject = placer::create(settings, hooks, this->members);
     }
 
-    auto place(std::vector<common::server_id> tried = {})
+    auto place(std::vector<common::server_id> tried_servers = {})
         -> std::optional<common::result<placement_decision>>
     {
         auto found = std::make_shared<std::optional<common::result<placement_decision>>>();
-        placement_question question;
-        question.version = version;
-        question.tried = std::move(tried);
-        this->subject->place(question, [found](auto decision) { *found = std::move(decision); });
+        placement_query query;
+        query.version = version;
+        query.tried_servers = std::move(tried_servers);
+        this->subject->place(query, [found](auto decision) { *found = std::move(decision); });
         if (!*found) {
             this->time.run_for(std::chrono::seconds(2));
         }
--- a/source/unit_tests/entry/version_policy_test.cpp
+++ b/source/unit_tests/entry/version_policy_test.cpp
@@ -42,16 +42,16 @@
     return state;
 }
 
-auto ask(const std::string& model, std::uint64_t number) -> version_question
+auto ask(const std::string& model, std::uint64_t number) -> version_query
 {
-    version_question question;
-    question.request = {number, number * 0x9e3779b97f4a7c15ULL};
-    question.organisation = common::organisation_id("o");
-    question.model = model;
-    question.prompt_tokens = common::token_count(100);
-    question.max_tokens = common::token_count(100);
-    question.current_until = common::never;
-    return question;
+    version_query query;
+    query.request = {number, number * 0x9e3779b97f4a7c15ULL};
+    query.organisation = common::organisation_id("o");
+    query.model = model;
+    query.prompt_tokens = common::token_count(100);
+    query.max_tokens = common::token_count(100);
+    query.current_until = common::never;
+    return query;
 }
 
 using shares = std::map<std::string, int>;
@@ -130,9 +130,9 @@
     const auto dear = subject.choose(state, ask("dear", 1), 1.0);
     REQUIRE_FALSE(dear.has_value());
     CHECK(dear.error().code == common::result_code::organisation_not_allowed);
-    auto question = ask("old", 1);
-    question.refused = {common::version_id("old")};
-    const auto refused = subject.choose(state, question, 1.0);
+    auto query = ask("old", 1);
+    query.refused = {common::version_id("old")};
+    const auto refused = subject.choose(state, query, 1.0);
     REQUIRE_FALSE(refused.has_value());
     CHECK(refused.error().code == common::result_code::version_withdrawn);
 }
@@ -151,11 +151,11 @@
         const common::version_id version(is_new ? "new" : "old");
         subject.on_submitted(request, {version, common::organisation_id("o"), {}});
         subject.on_ratings(state, {{request, is_new ? 0.1 : 0.9}});
-        messages::gossip news;
-        news.from = common::host_id("self");
-        news.sequence = number + 1;
-        news.evidence = subject.evidence();
-        subject.take_evidence(news);
+        messages::gossip gossip;
+        gossip.from = common::host_id("self");
+        gossip.sequence = number + 1;
+        gossip.evidence = subject.evidence();
+        subject.apply_evidence(gossip);
         now += std::chrono::seconds(1);
         actions = subject.tick(state, 0, now);
     }
--- a/source/unit_tests/whole_path/calls.hpp
+++ b/source/unit_tests/whole_path/calls.hpp
@@ -5,7 +5,7 @@
 
 #include "common/ids.hpp"
 #include "http/message.hpp"
-#include "unit_tests/entry/world.hpp"
+#include "unit_tests/entry/core_fixture.hpp"
 
 /// Callers' requests of the tests, and how to read their answers.
 namespace reedramp::whole_path {
--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -256,16 +256,16 @@
         claims::keeper_set_config{node.host},
         claims::keeper_hooks{
             this->log_for(node.alive), this->time.clock(), node.alive->timers(), this->random});
-    entry_program::claim_route::parts route;
+    entry_program::claim_router::dependencies route;
     route.self = node.host;
-    route.keepers = node.keepers;
+    route.claim_arbiters = node.keepers;
     route.hosts = node.hosts;
     route.members = node.members;
     route.peers = this->net.peers_for(node.alive);
     route.agents = this->net.agents_for(node.alive);
     route.now = this->time.clock();
     route.timer = node.alive->timers();
-    node.claiming = std::make_shared<entry_program::claim_route>(std::move(route));
+    node.claiming = std::make_shared<entry_program::claim_router>(std::move(route));
 }
 
 /// Where the daemons choose a gatherer among many entries, here e1 is the one of e2.
@@ -290,7 +290,7 @@
     return billing::collector::create({}, std::move(hooks));
 }
 
-auto fleet::connect_rules(const entry_ptr& node, entry::collaborators& parts) -> void
+auto fleet::connect_rules(const entry_ptr& node, entry::core_hooks& parts) -> void
 {
     auto* at = node.get();
     parts.snapshot = [this, at]() -> inventory::snapshot_ptr {
@@ -303,7 +303,7 @@
     parts.choose_version = [this, at](const auto& current, const auto& question) {
         return at->versions->choose(current, question, common::random_unit(this->random));
     };
-    parts.take_limits = [this, at](const auto& owner, const auto& expected) {
+    parts.reserve_limits = [this, at](const auto& owner, const auto& expected) {
         return at->shares->admit(owner, expected, this->time.now());
     };
     parts.settle_limits = [at](const auto& owner, const auto& expected, const auto& used) {
@@ -318,7 +318,7 @@
     };
 }
 
-auto fleet::connect_accounts(const entry_ptr& node, entry::collaborators& parts) -> void
+auto fleet::connect_accounts(const entry_ptr& node, entry::core_hooks& parts) -> void
 {
     auto* at = node.get();
     parts.claim = [at](auto claim, auto deadline, auto done) {
@@ -330,7 +330,7 @@
     parts.accepts_bills = [at] {
         return at->bills->accepts_work();
     };
-    parts.bill = [this, at](messages::bill item) {
+    parts.add_bill = [this, at](messages::bill item) {
         if (this->fault == mutation::doubled_bill) {
             auto copy = item;
             copy.request.low ^= 1U;
@@ -338,7 +338,7 @@
         }
         at->bills->add(std::move(item));
     };
-    parts.rate = [at, submit = this->ratings.hooks().submit](entry::rated_chat item) {
+    parts.submit_for_rating = [at, submit = this->ratings.hooks().submit](entry::rated_chat item) {
         at->versions->on_submitted(item.request, {item.version, item.organisation, item.task});
         submit(item.request, std::move(item.question), std::move(item.answer));
     };
@@ -346,7 +346,7 @@
 
 auto fleet::make_core(const entry_ptr& node) -> void
 {
-    entry::collaborators parts;
+    entry::core_hooks parts;
     parts.now = this->time.clock();
     parts.wall_now = [this] {
         return common::wall_time_ms(this->time.now().time_since_epoch() / 1ms);
