--- a/source/unit_tests/whole_path/fleet.hpp
+++ b/source/unit_tests/whole_path/fleet.hpp
@@ -11,7 +11,7 @@
 #include "agent/core.hpp"
 #include "billing/collector.hpp"
 #include "claims/keeper_set.hpp"
-#include "entry/claim_route.hpp"
+#include "entry/claim_router.hpp"
 #include "entry/core.hpp"
 #include "entry/placer.hpp"
 #include "entry/version_policy.hpp"
@@ -25,7 +25,7 @@
 #include "platform/fake_platform.hpp"
 #include "platform/fake_time.hpp"
 #include "unit_tests/agent/agent_fixture.hpp"
-#include "unit_tests/entry/world.hpp"
+#include "unit_tests/entry/core_fixture.hpp"
 
 /// Entries, agents and the platform in one process on one virtual clock, connected as the daemons
 /// connect them, but by hooks alone.
@@ -85,7 +85,7 @@
     std::shared_ptr<inventory::follower> follower;
     std::shared_ptr<inventory::publisher> publisher;
     std::shared_ptr<claims::keeper_set> keepers;
-    std::shared_ptr<entry_program::claim_route> claiming;
+    std::shared_ptr<entry_program::claim_router> claiming;
     std::shared_ptr<billing::collector> bills;
     std::shared_ptr<limits::share_keeper> shares;
     std::shared_ptr<entry::version_policy> versions;
@@ -187,8 +187,8 @@
     auto entry_follower(const entry_node& node) -> std::shared_ptr<inventory::follower>;
     auto make_bills(const entry_node& node) -> std::shared_ptr<billing::collector>;
     auto make_core(const entry_ptr& node) -> void;
-    auto connect_rules(const entry_ptr& node, entry::collaborators& parts) -> void;
-    auto connect_accounts(const entry_ptr& node, entry::collaborators& parts) -> void;
+    auto connect_rules(const entry_ptr& node, entry::core_hooks& parts) -> void;
+    auto connect_accounts(const entry_ptr& node, entry::core_hooks& parts) -> void;
     auto open_entry(const entry_ptr& node) -> void;
     auto serve_agent(agent_node& node, common::incarnation_id incarnation) -> void;
     auto snapshot_for(const agent_node& node) -> inventory::snapshot_ptr;
