--- a/source/core/claims/keeper.hpp
+++ b/source/core/claims/claim_arbiter.hpp
@@ -17,7 +17,7 @@
 /// holds a key.
 namespace reedramp::claims {
 
-struct keeper_config {
+struct claim_arbiter_config {
     /// The partition's stream.
     std::string stream;
     /// Least time between the starts of two appends. 16 keepers append at most 276 times a second.
@@ -44,14 +44,14 @@
     common::duration longest_retry = std::chrono::seconds{4};
 };
 
-struct keeper_hooks {
+struct claim_arbiter_hooks {
     platform::log_hooks log;
     common::clock_hook now;
     common::timer_hook timer;
     common::random_hook random;
 };
 
-enum class keeper_state : std::uint8_t {
+enum class arbiter_state : std::uint8_t {
     stopped,
     /// Reads the window; refuses all claims.
     starting,
@@ -60,10 +60,10 @@
     log_down
 };
 
-auto to_string(keeper_state value) -> std::string_view;
+auto to_string(arbiter_state value) -> std::string_view;
 
-struct keeper_counters {
-    keeper_state state = keeper_state::stopped;
+struct claim_arbiter_counters {
+    arbiter_state state = arbiter_state::stopped;
     std::size_t keys = 0;
     std::size_t pending = 0;
     std::uint64_t appends = 0;
@@ -87,11 +87,12 @@
 ///
 /// Thread-safe; hooks are called outside the lock. Timers and log calls hold weak references, so
 /// that the object may go at any time; claims not yet answered are then never answered.
-class keeper {
+class claim_arbiter {
 public:
-    static auto create(keeper_config config, keeper_hooks hooks) -> std::shared_ptr<keeper>;
+    static auto create(claim_arbiter_config config, claim_arbiter_hooks hooks)
+        -> std::shared_ptr<claim_arbiter>;
 
-    virtual ~keeper() = default;
+    virtual ~claim_arbiter() = default;
 
     /// Begins to read the window. Repeats do nothing.
     virtual auto start() -> void = 0;
@@ -108,7 +109,7 @@
         messages::claim_request request,
         std::function<auto(messages::claim_answer answer)->void> done) -> void = 0;
 
-    [[nodiscard]] virtual auto counters() const -> keeper_counters = 0;
+    [[nodiscard]] virtual auto counters() const -> claim_arbiter_counters = 0;
 };
 
 } // namespace reedramp::claims
--- a/source/core/claims/keeper_core.cpp
+++ b/source/core/claims/claim_arbiter_core.cpp
@@ -1,4 +1,4 @@
-#include "claims/keeper_core.hpp"
+#include "claims/claim_arbiter_core.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -19,58 +19,59 @@
 /// its last use.
 constexpr int renewals_per_window = 16;
 
-auto verdict_on(const messages::claim_request& claim, const holding& held) -> claim_state
+auto verdict_on(const messages::claim_request& claim, const held_claim& held) -> claim_state
 {
     return same_claim(held.claim, claim) ? claim_state::won : claim_state::lost;
 }
 
 } // namespace
 
-auto to_string(keeper_state value) -> std::string_view
+auto to_string(arbiter_state value) -> std::string_view
 {
     switch (value) {
-    case keeper_state::stopped:
+    case arbiter_state::stopped:
         return "stopped";
-    case keeper_state::starting:
+    case arbiter_state::starting:
         return "starting";
-    case keeper_state::serving:
+    case arbiter_state::serving:
         return "serving";
-    case keeper_state::log_down:
+    case arbiter_state::log_down:
         return "log_down";
     }
     return "stopped";
 }
 
-auto keeper::create(keeper_config config, keeper_hooks hooks) -> std::shared_ptr<keeper>
+auto claim_arbiter::create(claim_arbiter_config config, claim_arbiter_hooks hooks)
+    -> std::shared_ptr<claim_arbiter>
 {
-    return std::make_shared<keeper_core>(std::move(config), std::move(hooks));
+    return std::make_shared<claim_arbiter_core>(std::move(config), std::move(hooks));
 }
 
-keeper_core::keeper_core(keeper_config settings, keeper_hooks given)
+claim_arbiter_core::claim_arbiter_core(claim_arbiter_config settings, claim_arbiter_hooks given)
     : config(std::move(settings)), hooks(std::move(given)), age(this->config.window),
       retry_wait(this->config.first_retry)
 {
 }
 
-auto keeper_core::start() -> void
+auto claim_arbiter_core::start() -> void
 {
     this->with_lock([this](time_point now, actions& todo) {
-        if (this->state == keeper_state::stopped) {
+        if (this->state == arbiter_state::stopped) {
             this->take_over(now, todo);
         }
     });
 }
 
-auto keeper_core::stop() -> void
+auto claim_arbiter_core::stop() -> void
 {
     this->with_lock([this](time_point now, actions& todo) {
-        this->state = keeper_state::stopped;
+        this->state = arbiter_state::stopped;
         this->refuse_waiting(now, todo);
         this->reading = 0;
     });
 }
 
-auto keeper_core::claim(messages::claim_request request, claim_hook done) -> void
+auto claim_arbiter_core::claim(messages::claim_request request, claim_hook done) -> void
 {
     this->with_lock([&](time_point now, actions& todo) {
         ++this->pending;
@@ -85,7 +86,7 @@
     });
 }
 
-auto keeper_core::counters() const -> keeper_counters
+auto claim_arbiter_core::counters() const -> claim_arbiter_counters
 {
     const std::lock_guard guard(this->lock);
     auto counters = this->counted;
@@ -96,9 +97,9 @@
     return counters;
 }
 
-auto keeper_core::decide(waiting_claim item, time_point now, actions& todo) -> void
+auto claim_arbiter_core::decide(waiting_claim item, time_point now, actions& todo) -> void
 {
-    if (this->state == keeper_state::stopped || this->state == keeper_state::starting) {
+    if (this->state == arbiter_state::stopped || this->state == arbiter_state::starting) {
         this->refuse(item, result_code::claims_unavailable, now, todo);
         return;
     }
@@ -114,7 +115,7 @@
         return;
     }
     const auto has_room = this->pending <= this->config.pending_claims && !this->is_full(now);
-    if (this->state == keeper_state::log_down || !has_room) {
+    if (this->state == arbiter_state::log_down || !has_room) {
         this->refuse(item, result_code::claims_unavailable, now, todo);
         return;
     }
@@ -122,7 +123,8 @@
     this->open.push_back(std::move(item));
 }
 
-auto keeper_core::answer_from_table(waiting_claim& item, time_point now, actions& todo) -> bool
+auto claim_arbiter_core::answer_from_table(waiting_claim& item, time_point now, actions& todo)
+    -> bool
 {
     const auto held = this->find_live(item.claim.key, now);
     if (!held) {
@@ -150,8 +152,8 @@
     return false;
 }
 
-auto keeper_core::answer_session(
-    waiting_claim& item, const holding& held, time_point now, actions& todo) -> bool
+auto claim_arbiter_core::answer_session(
+    waiting_claim& item, const held_claim& held, time_point now, actions& todo) -> bool
 {
     if (!held.certain) {
         this->refuse(item, result_code::claims_unavailable, now, todo);
@@ -170,8 +172,8 @@
     return false;
 }
 
-auto keeper_core::find_live(const common::request_id& key, time_point now) const
-    -> std::optional<holding>
+auto claim_arbiter_core::find_live(const common::request_id& key, time_point now) const
+    -> std::optional<held_claim>
 {
     auto held = this->table.find(key);
     // The horizon moves with the next record; a key that it will forget is free already.
@@ -181,7 +183,7 @@
     return held;
 }
 
-auto keeper_core::is_full(time_point now) -> bool
+auto claim_arbiter_core::is_full(time_point now) -> bool
 {
     if (this->table.size() + this->busy.size() < this->config.max_keys) {
         return false;
@@ -192,7 +194,7 @@
     return true;
 }
 
-auto keeper_core::settle(flight decided, time_point now, actions& todo) -> void
+auto claim_arbiter_core::settle(flight decided, time_point now, actions& todo) -> void
 {
     for (auto& item : decided.claims) {
         this->settle_one(item, now, todo);
@@ -202,7 +204,7 @@
     }
 }
 
-auto keeper_core::settle_one(waiting_claim& item, time_point now, actions& todo) -> void
+auto claim_arbiter_core::settle_one(waiting_claim& item, time_point now, actions& todo) -> void
 {
     if (!item.done) {
         return;
@@ -219,8 +221,8 @@
     this->answer(item, verdict_on(item.claim, *held), *held, todo);
 }
 
-auto keeper_core::answer(
-    waiting_claim& item, claim_state verdict, const holding& held, actions& todo) -> void
+auto claim_arbiter_core::answer(
+    waiting_claim& item, claim_state verdict, const held_claim& held, actions& todo) -> void
 {
     ++(verdict == claim_state::won ? this->counted.won : this->counted.lost);
     --this->pending;
@@ -232,8 +234,8 @@
     todo.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
 }
 
-auto keeper_core::refuse(waiting_claim& item, result_code code, time_point now, actions& todo)
-    -> void
+auto claim_arbiter_core::refuse(
+    waiting_claim& item, result_code code, time_point now, actions& todo) -> void
 {
     if (!item.done) {
         return;
@@ -249,8 +251,8 @@
     todo.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
 }
 
-auto keeper_core::refuse_late(std::vector<waiting_claim>& list, time_point now, actions& todo)
-    -> void
+auto claim_arbiter_core::refuse_late(
+    std::vector<waiting_claim>& list, time_point now, actions& todo) -> void
 {
     for (auto& item : list) {
         if (now >= item.deadline) {
@@ -259,7 +261,7 @@
     }
 }
 
-auto keeper_core::sweep(time_point now, actions& todo) -> void
+auto claim_arbiter_core::sweep(time_point now, actions& todo) -> void
 {
     const auto is_answered = [](const waiting_claim& item) {
         return !item.done;
@@ -284,7 +286,7 @@
     }
 }
 
-auto keeper_core::refuse_waiting(time_point now, actions& todo) -> void
+auto claim_arbiter_core::refuse_waiting(time_point now, actions& todo) -> void
 {
     const auto refuse_all = [&](std::vector<waiting_claim>& list) {
         for (auto& item : list) {
@@ -303,7 +305,8 @@
     this->busy.clear();
 }
 
-auto keeper_core::release(const common::request_id& key, time_point now, actions& todo) -> void
+auto claim_arbiter_core::release(const common::request_id& key, time_point now, actions& todo)
+    -> void
 {
     auto released = this->busy.extract(key);
     if (released.empty()) {
--- a/source/core/claims/keeper_core.hpp
+++ b/source/core/claims/claim_arbiter_core.hpp
@@ -10,11 +10,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "claims/claim_arbiter.hpp"
 #include "claims/claim_table.hpp"
 #include "claims/codec.hpp"
-#include "claims/keeper.hpp"
-#include "claims/key_age.hpp"
-#include "claims/window_search.hpp"
+#include "claims/offset_age_tracker.hpp"
+#include "claims/replay_start_search.hpp"
 #include "common/ids.hpp"
 #include "common/result.hpp"
 #include "common/units.hpp"
@@ -27,14 +27,15 @@
 
 /// The keeper; see `keeper`. Its members are in two files: keeper_core.cpp decides and answers
 /// claims, keeper_log.cpp appends and reads.
-class keeper_core final : public keeper, public std::enable_shared_from_this<keeper_core> {
+class claim_arbiter_core final : public claim_arbiter,
+                                 public std::enable_shared_from_this<claim_arbiter_core> {
 public:
-    keeper_core(keeper_config settings, keeper_hooks given);
+    claim_arbiter_core(claim_arbiter_config settings, claim_arbiter_hooks given);
 
     auto start() -> void override;
     auto stop() -> void override;
     auto claim(messages::claim_request request, claim_hook done) -> void override;
-    [[nodiscard]] auto counters() const -> keeper_counters override;
+    [[nodiscard]] auto counters() const -> claim_arbiter_counters override;
 
 private:
     using action = std::function<auto()->void>;
@@ -77,16 +78,15 @@
     // keeper_core.cpp: claims and their answers
     auto decide(waiting_claim item, common::time_point now, actions& todo) -> void;
     auto answer_from_table(waiting_claim& item, common::time_point now, actions& todo) -> bool;
-    auto
-    answer_session(waiting_claim& item, const holding& held, common::time_point now, actions& todo)
-        -> bool;
+    auto answer_session(
+        waiting_claim& item, const held_claim& held, common::time_point now, actions& todo) -> bool;
     auto find_live(const common::request_id& key, common::time_point now) const
-        -> std::optional<holding>;
+        -> std::optional<held_claim>;
     auto is_full(common::time_point now) -> bool;
     auto settle(flight decided, common::time_point now, actions& todo) -> void;
     auto settle_one(waiting_claim& item, common::time_point now, actions& todo) -> void;
     auto
-    answer(waiting_claim& item, messages::claim_state state, const holding& held, actions& todo)
+    answer(waiting_claim& item, messages::claim_state state, const held_claim& held, actions& todo)
         -> void;
     auto
     refuse(waiting_claim& item, common::result_code code, common::time_point now, actions& todo)
@@ -143,17 +143,17 @@
         }
     }
 
-    keeper_config config;
-    keeper_hooks hooks;
+    claim_arbiter_config config;
+    claim_arbiter_hooks hooks;
 
     mutable std::mutex lock;
-    keeper_state state = keeper_state::stopped;
+    arbiter_state state = arbiter_state::stopped;
     claim_table table;
-    key_age age;
+    offset_age_tracker age;
     /// Last offset that was read when this keeper took over; older records' age is not known.
     common::log_offset taken_over_at;
     /// Set while the start of the window is looked for.
-    std::optional<window_search> search;
+    std::optional<replay_start_search> search;
 
     /// Claims of the next batch.
     std::vector<waiting_claim> open;
@@ -176,7 +176,7 @@
     std::uint64_t reads = 0;
     common::time_point read_until{};
     bool read_again = false;
-    keeper_counters counted;
+    claim_arbiter_counters counted;
 };
 
 } // namespace reedramp::claims
--- a/source/core/claims/keeper_log.cpp
+++ b/source/core/claims/claim_arbiter_log.cpp
@@ -2,7 +2,7 @@
 #include <string>
 #include <utility>
 
-#include "claims/keeper_core.hpp"
+#include "claims/claim_arbiter_core.hpp"
 #include "common/log.hpp"
 
 namespace reedramp::claims {
@@ -16,16 +16,17 @@
 /// How often claims that have waited too long are looked for.
 constexpr auto sweep_interval = std::chrono::milliseconds{100};
 
-auto say(common::log_level level, const keeper_config& config, const std::string& sentence) -> void
+auto say(common::log_level level, const claim_arbiter_config& config, const std::string& sentence)
+    -> void
 {
     common::log(common::log_part::claims, level, "partition=" + config.stream + " " + sentence);
 }
 
 } // namespace
 
-auto keeper_core::schedule(time_point now, actions& todo) -> void
+auto claim_arbiter_core::schedule(time_point now, actions& todo) -> void
 {
-    if (this->state == keeper_state::stopped) {
+    if (this->state == arbiter_state::stopped) {
         return;
     }
     if (now >= this->next_sweep) {
@@ -43,7 +44,7 @@
     this->call_at(this->next_time(), todo);
 }
 
-auto keeper_core::give_up_calls(time_point now, actions& todo) -> void
+auto claim_arbiter_core::give_up_calls(time_point now, actions& todo) -> void
 {
     for (auto& [number, item] : this->sent) {
         if (item.stage == flight_stage::sending && now >= item.until) {
@@ -57,11 +58,11 @@
     }
 }
 
-auto keeper_core::send_time() const -> time_point
+auto claim_arbiter_core::send_time() const -> time_point
 {
     const auto has_something = !this->open.empty() || this->prune_wanted;
     const auto may_send =
-        this->state == keeper_state::serving && this->sent.size() < this->config.appends_in_flight;
+        this->state == arbiter_state::serving && this->sent.size() < this->config.appends_in_flight;
     if (!has_something || !may_send) {
         return common::never;
     }
@@ -70,7 +71,7 @@
     return std::max(due, this->next_send);
 }
 
-auto keeper_core::next_time() const -> time_point
+auto claim_arbiter_core::next_time() const -> time_point
 {
     auto next = std::min(this->retry_at, this->send_time());
     if (this->pending != 0) {
@@ -87,7 +88,7 @@
     return next;
 }
 
-auto keeper_core::call_at(time_point when, actions& todo) -> void
+auto claim_arbiter_core::call_at(time_point when, actions& todo) -> void
 {
     if (when >= this->timer_at) {
         return;
@@ -102,7 +103,7 @@
     });
 }
 
-auto keeper_core::on_timer(time_point when) -> void
+auto claim_arbiter_core::on_timer(time_point when) -> void
 {
     this->with_lock([this, when](time_point now, actions& todo) {
         if (this->timer_at == when) {
@@ -112,7 +113,7 @@
     });
 }
 
-auto keeper_core::send_batch(time_point now, actions& todo) -> void
+auto claim_arbiter_core::send_batch(time_point now, actions& todo) -> void
 {
     flight item;
     item.content.id = {this->hooks.random(), this->hooks.random()};
@@ -132,7 +133,7 @@
     this->sent.emplace(item.number, std::move(item));
 }
 
-auto keeper_core::append(const flight& item, actions& todo) -> void
+auto claim_arbiter_core::append(const flight& item, actions& todo) -> void
 {
     ++this->counted.appends;
     todo.push_back(
@@ -146,7 +147,8 @@
         });
 }
 
-auto keeper_core::on_appended(std::uint64_t number, common::result<log_offset> result) -> void
+auto claim_arbiter_core::on_appended(std::uint64_t number, common::result<log_offset> result)
+    -> void
 {
     this->with_lock([&](time_point now, actions& todo) {
         const auto found = this->sent.find(number);
@@ -168,7 +170,7 @@
     });
 }
 
-auto keeper_core::mark_unknown(flight& item, time_point now, actions& todo) -> void
+auto claim_arbiter_core::mark_unknown(flight& item, time_point now, actions& todo) -> void
 {
     // The batch may be in the log. A read that starts from now on tells.
     item.stage = flight_stage::unknown;
@@ -176,7 +178,7 @@
     this->start_read(now, todo);
 }
 
-auto keeper_core::take_kept(time_point now, actions& todo) -> void
+auto claim_arbiter_core::take_kept(time_point now, actions& todo) -> void
 {
     // While this keeper alone appends, its batches follow each other without a gap, and none has to
     // be read back: what lies before them was taken.
@@ -201,7 +203,7 @@
     }
 }
 
-auto keeper_core::start_read(time_point now, actions& todo) -> void
+auto claim_arbiter_core::start_read(time_point now, actions& todo) -> void
 {
     if (this->reading != 0) {
         this->read_again = true;
@@ -222,7 +224,8 @@
     });
 }
 
-auto keeper_core::on_read(std::uint64_t turn, common::result<platform::read_answer> result) -> void
+auto claim_arbiter_core::on_read(std::uint64_t turn, common::result<platform::read_answer> result)
+    -> void
 {
     this->with_lock([&](time_point now, actions& todo) {
         if (turn != this->reading) {
@@ -242,8 +245,8 @@
     });
 }
 
-auto keeper_core::on_search(const platform::read_answer& found, time_point now, actions& todo)
-    -> void
+auto claim_arbiter_core::on_search(
+    const platform::read_answer& found, time_point now, actions& todo) -> void
 {
     if (const auto first = this->search->on_answer(found)) {
         this->search.reset();
@@ -256,7 +259,7 @@
     this->start_read(now, todo);
 }
 
-auto keeper_core::take_records(
+auto claim_arbiter_core::take_records(
     std::uint64_t turn, const platform::read_answer& read, time_point now, actions& todo) -> void
 {
     for (const auto& record : read.records) {
@@ -271,8 +274,8 @@
     this->start_read(now, todo);
 }
 
-auto keeper_core::take_record(const messages::log_record& record, time_point now, actions& todo)
-    -> void
+auto claim_arbiter_core::take_record(
+    const messages::log_record& record, time_point now, actions& todo) -> void
 {
     const auto batch = parse(record.data);
     if (!batch) {
@@ -293,21 +296,21 @@
     }
 }
 
-auto keeper_core::take(log_offset offset, const claim_batch& batch, time_point now) -> void
+auto claim_arbiter_core::take(log_offset offset, const claim_batch& batch, time_point now) -> void
 {
     this->table.apply(offset, batch);
     this->age.on_record(offset, now);
 }
 
-auto keeper_core::reached_head(std::uint64_t turn, time_point now, actions& todo) -> void
+auto claim_arbiter_core::reached_head(std::uint64_t turn, time_point now, actions& todo) -> void
 {
     this->retry_wait = this->config.first_retry;
-    if (this->state == keeper_state::starting) {
+    if (this->state == arbiter_state::starting) {
         this->taken_over_at = this->table.applied();
         this->age.reset(this->taken_over_at, now);
     }
-    if (this->state != keeper_state::serving) {
-        this->state = keeper_state::serving;
+    if (this->state != arbiter_state::serving) {
+        this->state = arbiter_state::serving;
         say(common::log_level::info,
             this->config,
             "serves keys=" + std::to_string(this->table.size()));
@@ -319,7 +322,7 @@
     }
 }
 
-auto keeper_core::resolve_unknown(std::uint64_t turn, time_point now, actions& todo) -> void
+auto claim_arbiter_core::resolve_unknown(std::uint64_t turn, time_point now, actions& todo) -> void
 {
     for (auto found = this->sent.begin(); found != this->sent.end();) {
         auto& item = found->second;
@@ -347,43 +350,44 @@
     }
 }
 
-auto keeper_core::on_read_failed(const common::error& why, time_point now, actions& todo) -> void
+auto claim_arbiter_core::on_read_failed(const common::error& why, time_point now, actions& todo)
+    -> void
 {
     if (why.code == result_code::log_trimmed) {
         say(common::log_level::warning, this->config, "the log was trimmed past this keeper");
         this->refuse_waiting(now, todo);
-        this->state = keeper_state::starting;
+        this->state = arbiter_state::starting;
         this->search.emplace();
         this->back_off(now);
         return;
     }
-    if (this->state == keeper_state::serving) {
+    if (this->state == arbiter_state::serving) {
         this->go_down(now, todo);
         return;
     }
     this->back_off(now);
 }
 
-auto keeper_core::go_down(time_point now, actions& todo) -> void
+auto claim_arbiter_core::go_down(time_point now, actions& todo) -> void
 {
     say(common::log_level::warning, this->config, "the log cannot be reached");
     this->refuse_waiting(now, todo);
-    if (this->state == keeper_state::serving) {
-        this->state = keeper_state::log_down;
+    if (this->state == arbiter_state::serving) {
+        this->state = arbiter_state::log_down;
     }
     this->back_off(now);
 }
 
-auto keeper_core::back_off(time_point now) -> void
+auto claim_arbiter_core::back_off(time_point now) -> void
 {
     this->retry_at = now + this->retry_wait;
     this->retry_wait = std::min(this->retry_wait * 2, this->config.longest_retry);
 }
 
-auto keeper_core::take_over(time_point now, actions& todo) -> void
+auto claim_arbiter_core::take_over(time_point now, actions& todo) -> void
 {
     ++this->counted.takeovers;
-    this->state = keeper_state::starting;
+    this->state = arbiter_state::starting;
     this->search.emplace();
     this->start_read(now, todo);
 }
--- a/source/core/claims/keeper_set.cpp
+++ b/source/core/claims/claim_arbiter_set.cpp
@@ -1,4 +1,4 @@
-#include "claims/keeper_set.hpp"
+#include "claims/claim_arbiter_set.hpp"
 
 #include <algorithm>
 #include <string>
@@ -21,32 +21,32 @@
 
 } // namespace
 
-auto keeper_set_config::defaults_for_names() -> keeper_config
+auto claim_arbiter_set_config::defaults_for_names() -> claim_arbiter_config
 {
-    keeper_config config;
+    claim_arbiter_config config;
     config.window = std::chrono::hours{26};
     return config;
 }
 
-keeper_set::keeper_set(keeper_set_config settings, keeper_hooks given)
+claim_arbiter_set::claim_arbiter_set(claim_arbiter_set_config settings, claim_arbiter_hooks given)
     : config(std::move(settings)), hooks(std::move(given))
 {
 }
 
-auto keeper_set::update_entries(std::vector<common::host_id> live) -> void
+auto claim_arbiter_set::update_entries(std::vector<common::host_id> live) -> void
 {
-    std::vector<keeper_ptr> started;
-    std::vector<keeper_ptr> idle;
+    std::vector<arbiter_ptr> started;
+    std::vector<arbiter_ptr> idle;
     {
         const std::lock_guard guard(this->lock);
         this->entries = std::move(live);
-        const auto is_idle = [](const keeper_ptr& item) {
+        const auto is_idle = [](const arbiter_ptr& item) {
             return item->counters().pending == 0;
         };
         std::erase_if(this->retired, is_idle);
         for (std::uint32_t number = 0; number < partition_count && !this->stopped; ++number) {
             const partition_id partition{number};
-            auto& mine = this->keepers.at(number);
+            auto& mine = this->arbiters.at(number);
             if (this->wants(partition)) {
                 started.push_back(this->obtain(partition));
             }
@@ -61,8 +61,8 @@
     }
 }
 
-auto keeper_set::order_for(const messages::claim_request& claim, std::size_t limit) const
-    -> std::vector<common::host_id>
+auto claim_arbiter_set::ranked_entries(
+    const messages::claim_request& claim, std::size_t limit) const -> std::vector<common::host_id>
 {
     const std::lock_guard guard(this->lock);
     auto order = ranked(partition_of(claim), this->entries);
@@ -70,10 +70,10 @@
     return order;
 }
 
-auto keeper_set::claim(
+auto claim_arbiter_set::claim(
     messages::claim_request request, messages::answer_hook<messages::claim_answer> done) -> void
 {
-    keeper_ptr responsible;
+    arbiter_ptr responsible;
     {
         const std::lock_guard guard(this->lock);
         if (!this->stopped) {
@@ -90,15 +90,15 @@
     });
 }
 
-auto keeper_set::stop() -> void
+auto claim_arbiter_set::stop() -> void
 {
-    std::vector<keeper_ptr> all;
+    std::vector<arbiter_ptr> all;
     {
         const std::lock_guard guard(this->lock);
         this->stopped = true;
-        all.assign(this->keepers.begin(), this->keepers.end());
+        all.assign(this->arbiters.begin(), this->arbiters.end());
         all.insert(all.end(), this->retired.begin(), this->retired.end());
-        this->keepers.fill(nullptr);
+        this->arbiters.fill(nullptr);
         this->retired.clear();
     }
     for (const auto& item : all) {
@@ -108,22 +108,22 @@
     }
 }
 
-auto keeper_set::counters() const -> keeper_counters
+auto claim_arbiter_set::counters() const -> claim_arbiter_counters
 {
-    std::vector<keeper_ptr> all;
+    std::vector<arbiter_ptr> all;
     {
         const std::lock_guard guard(this->lock);
-        std::ranges::copy_if(this->keepers, std::back_inserter(all), [](const keeper_ptr& item) {
+        std::ranges::copy_if(this->arbiters, std::back_inserter(all), [](const arbiter_ptr& item) {
             return item != nullptr;
         });
     }
-    keeper_counters sum;
-    sum.state = all.empty() ? keeper_state::stopped : keeper_state::serving;
+    claim_arbiter_counters sum;
+    sum.state = all.empty() ? arbiter_state::stopped : arbiter_state::serving;
     for (const auto& item : all) {
         const auto one = item->counters();
         const auto is_worse =
-            one.state == keeper_state::log_down ||
-            (one.state != keeper_state::serving && sum.state == keeper_state::serving);
+            one.state == arbiter_state::log_down ||
+            (one.state != arbiter_state::serving && sum.state == arbiter_state::serving);
         sum.state = is_worse ? one.state : sum.state;
         sum.keys += one.keys;
         sum.pending += one.pending;
@@ -138,7 +138,7 @@
     return sum;
 }
 
-auto keeper_set::wants(partition_id partition) const -> bool
+auto claim_arbiter_set::wants(partition_id partition) const -> bool
 {
     const auto order = ranked(partition, this->entries);
     const auto prepared = std::min(order.size(), prepared_keepers);
@@ -146,14 +146,14 @@
     return std::find(order.begin(), end, this->config.self) != end;
 }
 
-auto keeper_set::obtain(partition_id partition) -> keeper_ptr
+auto claim_arbiter_set::obtain(partition_id partition) -> arbiter_ptr
 {
-    auto& mine = this->keepers.at(partition.value());
+    auto& mine = this->arbiters.at(partition.value());
     if (!mine) {
         const auto is_name = partition.value() >= request_partitions;
         auto settings = is_name ? this->config.names : this->config.requests;
         settings.stream = stream_of(partition);
-        mine = keeper::create(std::move(settings), this->hooks);
+        mine = claim_arbiter::create(std::move(settings), this->hooks);
     }
     return mine;
 }
--- a/source/core/claims/client.cpp
+++ b/source/core/claims/claim_client.cpp
@@ -1,4 +1,4 @@
-#include "claims/client.hpp"
+#include "claims/claim_client.hpp"
 
 #include <mutex>
 #include <utility>
@@ -15,10 +15,10 @@
 public:
     claim_run(
         const claimant_config& config,
-        client_hooks given,
+        claim_client_hooks given,
         messages::claim_request wanted,
         time_point until,
-        std::function<auto(claim_end end)->void> when_done)
+        std::function<auto(claim_result end)->void> when_done)
         : hooks(std::move(given)), decisions(config, std::move(wanted), until), deadline(until),
           done(std::move(when_done))
     {
@@ -48,8 +48,8 @@
             }
             turn = ++this->turns;
             next = event(this->decisions, now);
-            this->asks_keeper = std::holds_alternative<send_claim>(*next);
-            this->asks_agent = std::holds_alternative<ask_holder>(*next);
+            this->awaits_arbiter = std::holds_alternative<send_claim>(*next);
+            this->awaits_agent = std::holds_alternative<ask_holder>(*next);
         }
         std::visit([this, turn](auto& wanted) { this->carry_out(wanted, turn); }, *next);
     }
@@ -57,14 +57,14 @@
     auto carry_out(send_claim& wanted, std::uint64_t turn) -> void
     {
         this->hooks.claim(
-            wanted.keeper_rank,
+            wanted.arbiter_rank,
             std::move(wanted.claim),
             [self = this->shared_from_this(), turn](auto answer) { self->take(answer, turn); });
     }
 
     auto carry_out(ask_holder& wanted, std::uint64_t turn) -> void
     {
-        this->hooks.ask(
+        this->hooks.query_outcome(
             wanted.server, wanted.query, [self = this->shared_from_this(), turn](auto answer) {
                 self->take(answer, turn);
             });
@@ -102,17 +102,17 @@
     auto give_up() -> void
     {
         std::uint64_t turn = 0;
-        auto from_keeper = false;
+        auto from_arbiter = false;
         {
             const std::lock_guard guard(this->lock);
-            if (!this->asks_keeper && !this->asks_agent) {
+            if (!this->awaits_arbiter && !this->awaits_agent) {
                 return;
             }
             turn = this->turns;
-            from_keeper = this->asks_keeper;
+            from_arbiter = this->awaits_arbiter;
         }
         const auto lost = common::failure(result_code::peer_unavailable, "no answer in time");
-        if (from_keeper) {
+        if (from_arbiter) {
             this->take(common::result<messages::claim_answer>{lost}, turn);
         }
         else {
@@ -120,26 +120,26 @@
         }
     }
 
-    client_hooks hooks;
+    claim_client_hooks hooks;
     std::mutex lock;
     claimant decisions;
     const time_point deadline;
-    std::function<auto(claim_end end)->void> done;
+    std::function<auto(claim_result end)->void> done;
     /// Numbers the steps, so that an answer that was given up is not taken later.
     std::uint64_t turns = 0;
     /// What the running turn waits for, if it is an answer.
-    bool asks_keeper = false;
-    bool asks_agent = false;
+    bool awaits_arbiter = false;
+    bool awaits_agent = false;
 };
 
 } // namespace
 
 auto claim_key(
     const claimant_config& config,
-    const client_hooks& hooks,
+    const claim_client_hooks& hooks,
     messages::claim_request wanted,
     time_point deadline,
-    std::function<auto(claim_end end)->void> done) -> void
+    std::function<auto(claim_result end)->void> done) -> void
 {
     const auto run =
         std::make_shared<claim_run>(config, hooks, std::move(wanted), deadline, std::move(done));
--- a/source/core/claims/client.hpp
+++ b/source/core/claims/claim_client.hpp
@@ -14,11 +14,11 @@
 
 namespace reedramp::claims {
 
-struct client_hooks {
+struct claim_client_hooks {
     common::clock_hook now;
     common::timer_hook timer;
-    /// Asks the entry of this rank for the key (see `keeper_set::order_for`); `peer_unavailable`
-    /// when there is none of that rank.
+    /// Asks the entry of this rank for the key (see `claim_arbiter_set::ranked_entries`);
+    /// `peer_unavailable` when there is none of that rank.
     std::function<auto(
                       std::size_t rank,
                       messages::claim_request claim,
@@ -31,19 +31,19 @@
                       messages::outcome_query query,
                       messages::answer_hook<messages::outcome_answer> done)
                       ->void>
-        ask;
+        query_outcome;
 };
 
 /// How a claim ended; see the types.
-using claim_end = std::variant<claim_granted, claim_answered, claim_refused>;
+using claim_result = std::variant<claim_granted, claim_answered, claim_refused>;
 
 /// Carries out a claimant's steps until the claim has ended. `done` is called exactly once.
 /// Each call of a hook that has not answered is given up at the deadline.
 auto claim_key(
     const claimant_config& config,
-    const client_hooks& hooks,
+    const claim_client_hooks& hooks,
     messages::claim_request wanted,
     common::time_point deadline,
-    std::function<auto(claim_end end)->void> done) -> void;
+    std::function<auto(claim_result end)->void> done) -> void;
 
 } // namespace reedramp::claims
--- a/source/core/claims/claim_table.cpp
+++ b/source/core/claims/claim_table.cpp
@@ -33,14 +33,14 @@
     }
 }
 
-auto claim_table::find(const common::request_id& key) const -> std::optional<holding>
+auto claim_table::find(const common::request_id& key) const -> std::optional<held_claim>
 {
     const auto found = this->keys.find(key);
     if (found == this->keys.end()) {
         return std::nullopt;
     }
     const auto& item = found->second;
-    holding held;
+    held_claim held;
     held.claim.key = key;
     held.claim.body = item.body;
     held.claim.request = item.request;
--- a/source/core/claims/claim_table.hpp
+++ b/source/core/claims/claim_table.hpp
@@ -15,7 +15,7 @@
 namespace reedramp::claims {
 
 /// The claim that holds a key.
-struct holding {
+struct held_claim {
     messages::claim_request claim;
     common::log_offset offset;
     /// Newest claim of the key, whether it won or lost.
@@ -45,7 +45,7 @@
     /// Passes over a record that cannot be read.
     auto skip(common::log_offset offset) -> void { this->newest = offset; }
 
-    [[nodiscard]] auto find(const common::request_id& key) const -> std::optional<holding>;
+    [[nodiscard]] auto find(const common::request_id& key) const -> std::optional<held_claim>;
 
     /// Offset of the last record taken; one before `first` after a reset.
     [[nodiscard]] auto applied() const -> common::log_offset { return this->newest; }
--- a/source/core/claims/claimant.cpp
+++ b/source/core/claims/claimant.cpp
@@ -31,8 +31,8 @@
         !answer || (answer->state == claim_state::refused &&
                     (!answer->why || answer->why->code == result_code::claims_unavailable));
     if (is_undecided) {
-        ++this->keeper_rank;
-        if (this->keeper_rank < this->config.keeper_tries && now < this->deadline) {
+        ++this->arbiter_rank;
+        if (this->arbiter_rank < this->config.max_arbiter_tries && now < this->deadline) {
             return this->send();
         }
         auto refused = this->refuse(result_code::claims_unavailable);
@@ -99,7 +99,7 @@
 
 auto claimant::send() const -> claim_step
 {
-    return send_claim{this->keeper_rank, this->claim};
+    return send_claim{this->arbiter_rank, this->claim};
 }
 
 auto claimant::ask() const -> claim_step
@@ -122,7 +122,7 @@
         return this->refuse(result_code::claims_unavailable);
     }
     ++this->claims_made;
-    this->keeper_rank = 0;
+    this->arbiter_rank = 0;
     this->claim.replaces = this->holder_offset;
     return this->send();
 }
--- a/source/core/claims/claimant.hpp
+++ b/source/core/claims/claimant.hpp
@@ -19,14 +19,14 @@
     /// How long an agent that cannot be reached is asked again before the outcome is `unknown`.
     common::duration lost_agent_wait = std::chrono::seconds{2};
     /// Entries asked to decide a claim, best first. A second keeper is harmless.
-    std::size_t keeper_tries = 2;
+    std::size_t max_arbiter_tries = 2;
     /// Claims made for one request: the first, and one for each holder found not to run.
     std::uint32_t claim_tries = 4;
 };
 
 /// Ask the keeper of this rank, then call `on_claim`.
 struct send_claim {
-    std::size_t keeper_rank = 0;
+    std::size_t arbiter_rank = 0;
     messages::claim_request claim;
 };
 
@@ -101,7 +101,7 @@
     claimant_config config;
     messages::claim_request claim;
     common::time_point deadline;
-    std::size_t keeper_rank = 0;
+    std::size_t arbiter_rank = 0;
     std::uint32_t claims_made = 0;
     messages::claim_request holder;
     common::log_offset holder_offset;
--- a/source/core/claims/key_age.cpp
+++ b/source/core/claims/offset_age_tracker.cpp
@@ -1,4 +1,4 @@
-#include "claims/key_age.hpp"
+#include "claims/offset_age_tracker.hpp"
 
 namespace reedramp::claims {
 
@@ -11,13 +11,13 @@
 
 } // namespace
 
-auto key_age::reset(log_offset newest_read, time_point now) -> void
+auto offset_age_tracker::reset(log_offset newest_read, time_point now) -> void
 {
     this->samples.clear();
     this->newest = {now, newest_read};
 }
 
-auto key_age::on_record(log_offset taken, time_point now) -> void
+auto offset_age_tracker::on_record(log_offset taken, time_point now) -> void
 {
     const auto next = this->samples.empty()
                           ? time_point::min()
@@ -32,7 +32,8 @@
     this->newest = {now, taken};
 }
 
-auto key_age::first_younger_than(common::duration age, time_point now) const -> log_offset
+auto offset_age_tracker::first_younger_than(common::duration age, time_point now) const
+    -> log_offset
 {
     auto last_older = log_offset{};
     if (this->newest.at + age <= now) {
--- a/source/core/claims/key_age.hpp
+++ b/source/core/claims/offset_age_tracker.hpp
@@ -10,10 +10,10 @@
 /// Tells, by a process's own clock, up to which offset the records were read at least some time
 /// ago. Every process reads a record after it was appended, so that this never makes a record look
 /// older than it is.
-class key_age {
+class offset_age_tracker {
 public:
     /// Keeps samples for as long as `longest` needs; one of them covers `longest` / 64.
-    explicit key_age(common::duration longest) : span(longest) {}
+    explicit offset_age_tracker(common::duration longest) : span(longest) {}
 
     /// Forgets all; records up to `newest` count as read now.
     auto reset(common::log_offset newest, common::time_point now) -> void;
--- a/source/core/claims/window_search.cpp
+++ b/source/core/claims/replay_start_search.cpp
@@ -1,4 +1,4 @@
-#include "claims/window_search.hpp"
+#include "claims/replay_start_search.hpp"
 
 #include <algorithm>
 
@@ -27,12 +27,13 @@
 
 } // namespace
 
-auto window_search::read_after() const -> log_offset
+auto replay_start_search::read_after() const -> log_offset
 {
     return this->at == step::find_head ? beyond_head : log_offset{this->wanted.value() - 1};
 }
 
-auto window_search::on_answer(const platform::read_answer& answer) -> std::optional<log_offset>
+auto replay_start_search::on_answer(const platform::read_answer& answer)
+    -> std::optional<log_offset>
 {
     this->oldest = std::max(answer.oldest, log_offset{1});
     if (this->at == step::find_head) {
--- a/source/core/claims/window_search.hpp
+++ b/source/core/claims/replay_start_search.hpp
@@ -14,7 +14,7 @@
 /// those claims, the keys that were held when they were made must be known; they lie at or after
 /// the horizon that the record at H carries. So reading starts there: two windows back. Where a
 /// record on the way cannot be read, all that the log still holds is read.
-class window_search {
+class replay_start_search {
 public:
     /// Pass to the next read of the stream, without waiting.
     [[nodiscard]] auto read_after() const -> common::log_offset;
--- a/source/core/entry/collaborators.hpp
+++ b/source/core/entry/collaborators.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "claims/client.hpp"
+#include "claims/claim_client.hpp"
 #include "common/hooks.hpp"
 #include "common/ids.hpp"
 #include "common/result.hpp"
@@ -132,7 +132,7 @@
     std::function<auto(
                       messages::claim_request claim,
                       common::time_point deadline,
-                      std::function<auto(claims::claim_end end)->void> done)
+                      std::function<auto(claims::claim_result end)->void> done)
                       ->void>
         claim;
 
--- a/source/core/entry/filter_claim.cpp
+++ b/source/core/entry/filter_claim.cpp
@@ -75,7 +75,7 @@
     give_up(item, refused.why);
 }
 
-auto take_end(const exchange_ptr& item, const claims::claim_end& end) -> void
+auto take_end(const exchange_ptr& item, const claims::claim_result& end) -> void
 {
     if (item->ended) {
         return;
@@ -104,7 +104,7 @@
         take_refusal(item, {why, std::nullopt});
         return filter_step::stop;
     }
-    parts.claim(claim_of(*item), item->deadline, [item](claims::claim_end end) {
+    parts.claim(claim_of(*item), item->deadline, [item](claims::claim_result end) {
         post(item, [end = std::move(end)](const exchange_ptr& self) { take_end(self, end); });
     });
     return filter_step::stop;
--- a/source/entry/claim_route.cpp
+++ b/source/entry/claim_route.cpp
@@ -11,24 +11,24 @@
 
 } // namespace
 
-auto claim_route::ask_keeper(
+auto claim_route::ask_arbiter(
     std::size_t rank,
     messages::claim_request wanted,
     messages::answer_hook<messages::claim_answer> done) -> void
 {
-    const auto order = this->with.keepers->order_for(wanted, rank + 1);
+    const auto order = this->with.claim_arbiters->ranked_entries(wanted, rank + 1);
     if (rank >= order.size()) {
         done(common::failure(common::result_code::peer_unavailable, "no further entry"));
         return;
     }
-    const auto& keeper = order[rank];
-    if (keeper == this->with.self) {
-        this->with.keepers->claim(std::move(wanted), std::move(done));
+    const auto& arbiter = order[rank];
+    if (arbiter == this->with.self) {
+        this->with.claim_arbiters->claim(std::move(wanted), std::move(done));
         return;
     }
-    const auto address = this->with.hosts->address_of(keeper);
+    const auto address = this->with.hosts->address_of(arbiter);
     if (address.value().empty()) {
-        done(common::failure(common::result_code::peer_unavailable, "no address of the keeper"));
+        done(common::failure(common::result_code::peer_unavailable, "no address of the arbiter"));
         return;
     }
     this->with.peers.claim(address, std::move(wanted), std::move(done));
@@ -50,21 +50,21 @@
 auto claim_route::claim_key(
     messages::claim_request wanted,
     common::time_point deadline,
-    std::function<auto(claims::claim_end end)->void> done) -> void
+    std::function<auto(claims::claim_result end)->void> done) -> void
 {
-    claims::client_hooks hooks;
+    claims::claim_client_hooks hooks;
     hooks.now = this->with.now;
     hooks.timer = this->with.timer;
     hooks.claim = [self = this->shared_from_this()](
                       std::size_t rank,
                       messages::claim_request claim,
                       messages::answer_hook<messages::claim_answer> answer) {
-        self->ask_keeper(rank, std::move(claim), std::move(answer));
+        self->ask_arbiter(rank, std::move(claim), std::move(answer));
     };
-    hooks.ask = [self = this->shared_from_this()](
-                    const common::server_id& server,
-                    const messages::outcome_query& query,
-                    messages::answer_hook<messages::outcome_answer> answer) {
+    hooks.query_outcome = [self = this->shared_from_this()](
+                              const common::server_id& server,
+                              const messages::outcome_query& query,
+                              messages::answer_hook<messages::outcome_answer> answer) {
         self->ask_agent(server, query, std::move(answer));
     };
     claims::claim_key({}, hooks, std::move(wanted), deadline, std::move(done));
@@ -81,7 +81,7 @@
     messages::claim_request wanted,
     messages::answer_hook<messages::claim_answer> done) -> void
 {
-    this->ask_keeper(
+    this->ask_arbiter(
         rank,
         wanted,
         [self = this->shared_from_this(), rank, wanted, done = std::move(done)](
--- a/source/entry/claim_route.hpp
+++ b/source/entry/claim_route.hpp
@@ -2,8 +2,8 @@
 
 #include <memory>
 
-#include "claims/client.hpp"
-#include "claims/keeper_set.hpp"
+#include "claims/claim_arbiter_set.hpp"
+#include "claims/claim_client.hpp"
 #include "common/hooks.hpp"
 #include "membership/host_watch.hpp"
 #include "membership/view.hpp"
@@ -16,7 +16,7 @@
 public:
     struct parts {
         common::host_id self;
-        std::shared_ptr<claims::keeper_set> keepers;
+        std::shared_ptr<claims::claim_arbiter_set> claim_arbiters;
         std::shared_ptr<membership::host_watch> hosts;
         std::shared_ptr<membership::view> members;
         messages::peer_calls peers;
@@ -31,7 +31,7 @@
     auto claim_key(
         messages::claim_request wanted,
         common::time_point deadline,
-        std::function<auto(claims::claim_end end)->void> done) -> void;
+        std::function<auto(claims::claim_result end)->void> done) -> void;
 
     /// For `entry::collaborators::claim_name`: the first keeper that answers decides.
     auto
@@ -39,7 +39,7 @@
         -> void;
 
 private:
-    auto ask_keeper(
+    auto ask_arbiter(
         std::size_t rank,
         messages::claim_request wanted,
         messages::answer_hook<messages::claim_answer> done) -> void;
--- a/source/entry/entry_metrics.cpp
+++ b/source/entry/entry_metrics.cpp
@@ -80,7 +80,7 @@
     const std::lock_guard guard(this->lock);
     this->read_core(from.core.counters());
     const auto bills = from.bills.counters();
-    const auto claims = from.keepers.counters();
+    const auto claims = from.claim_arbiters.counters();
     this->show("reedramp_entry_pending_bills", "Bills not read back", bills.pending_bills);
     this->show("reedramp_entry_pending_bill_bytes", "Bytes of these", bills.pending_bytes);
     this->raise("reedramp_entry_bill_appends_total", "Appends of bills", {}, bills.appends);
--- a/source/entry/entry_metrics.hpp
+++ b/source/entry/entry_metrics.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "billing/collector.hpp"
-#include "claims/keeper_set.hpp"
+#include "claims/claim_arbiter_set.hpp"
 #include "entry/collaborators.hpp"
 #include "entry/core.hpp"
 #include "inventory/follower.hpp"
@@ -23,7 +23,7 @@
         const entry::core& core;
         const inventory::follower& follower;
         const billing::collector& bills;
-        const claims::keeper_set& keepers;
+        const claims::claim_arbiter_set& claim_arbiters;
     };
 
     auto text(const sources& from) -> std::string;
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -161,13 +161,13 @@
 
 auto entry_process::make_claims() -> void
 {
-    this->keepers = std::make_shared<claims::keeper_set>(
-        claims::keeper_set_config{this->settings.self.host},
-        claims::keeper_hooks{
+    this->claim_arbiters = std::make_shared<claims::claim_arbiter_set>(
+        claims::claim_arbiter_set_config{this->settings.self.host},
+        claims::claim_arbiter_hooks{
             this->log, daemon::boot_time, this->threads.timers(), daemon::random_bits});
     claim_route::parts route;
     route.self = this->settings.self.host;
-    route.keepers = this->keepers;
+    route.claim_arbiters = this->claim_arbiters;
     route.hosts = this->hosts;
     route.members = this->members;
     route.peers = this->peers->peers();
@@ -249,7 +249,8 @@
         this->rate(std::move(item));
     };
     parts.metrics_text = [this] {
-        return this->metrics.text({*this->core, *this->follower, *this->bills, *this->keepers});
+        return this->metrics.text(
+            {*this->core, *this->follower, *this->bills, *this->claim_arbiters});
     };
 }
 
@@ -311,7 +312,7 @@
                        const messages::answer_hook<messages::configuration_push>& done) {
         done(from->answer(pull));
     };
-    offered.claim = [to = this->keepers](messages::claim_request claim, auto done) {
+    offered.claim = [to = this->claim_arbiters](messages::claim_request claim, auto done) {
         to->claim(std::move(claim), std::move(done));
     };
     offered.hand_over = [to = this->bills](messages::bill_handover items, auto done) {
@@ -368,7 +369,7 @@
 
 auto entry_process::entries_changed(std::vector<common::host_id> entries) -> void
 {
-    this->keepers->update_entries(std::move(entries));
+    this->claim_arbiters->update_entries(std::move(entries));
     std::vector<limits::entry_peer> sharing;
     sharing.push_back({this->settings.self.host, this->settings.self.data_centre});
     for (const auto& peer : this->hosts->entries()) {
--- a/source/entry/entry_process.hpp
+++ b/source/entry/entry_process.hpp
@@ -10,7 +10,7 @@
 #include "administration.hpp"
 #include "billing/collector.hpp"
 #include "claim_route.hpp"
-#include "claims/keeper_set.hpp"
+#include "claims/claim_arbiter_set.hpp"
 #include "control/checkpointer.hpp"
 #include "daemon/io_pool.hpp"
 #include "entry/core.hpp"
@@ -98,7 +98,7 @@
     std::unique_ptr<wire::rpc_client> peers;
     std::shared_ptr<inventory::follower> follower;
     std::shared_ptr<inventory::publisher> publisher;
-    std::shared_ptr<claims::keeper_set> keepers;
+    std::shared_ptr<claims::claim_arbiter_set> claim_arbiters;
     std::shared_ptr<claim_route> claiming;
     std::shared_ptr<billing::collector> bills;
     std::unique_ptr<limits::share_keeper> shares;
--- a/source/entry/entry_process_shutdown.cpp
+++ b/source/entry/entry_process_shutdown.cpp
@@ -51,7 +51,7 @@
 {
     this->bills->flush();
     this->settle_bills(daemon::boot_time() + this->settings.bills_limit, [this, cut, done] {
-        this->keepers->stop();
+        this->claim_arbiters->stop();
         this->threads.post([done, cut] { done(cut); });
     });
 }
--- a/source/unit_tests/claims/keeper_test.cpp
+++ b/source/unit_tests/claims/claim_arbiter_test.cpp
@@ -5,10 +5,10 @@
 
 #include <catch2/catch.hpp>
 
+#include "claims/claim_arbiter_set.hpp"
 #include "claims/claim_table.hpp"
 #include "claims/codec.hpp"
 #include "claims/fingerprint.hpp"
-#include "claims/keeper_set.hpp"
 #include "partition_fixture.hpp"
 
 namespace reedramp::claims {
@@ -100,12 +100,12 @@
     // the second answer was lost does not show that the second batch is missing: both claims are
     // won, and no batch is appended a second time.
     partition_fixture one;
-    const auto keeper = one.keep();
+    const auto arbiter = one.keep();
     one.log.set_faults({.slow = 500ms, .lose_answer_every = 1});
-    const auto first = one.ask(keeper, make_claim(1, 1));
+    const auto first = one.ask(arbiter, make_claim(1, 1));
     one.time.run_for(600ms);
     one.log.set_faults({.slow = 10ms, .lose_answer_every = 1});
-    const auto second = one.ask(keeper, make_claim(2, 2));
+    const auto second = one.ask(arbiter, make_claim(2, 2));
     one.time.run_for(2s);
     REQUIRE((*first && *second));
     CHECK((*first)->state == claim_state::won);
@@ -123,7 +123,7 @@
     CHECK(one.decide(old, make_claim(1, 1)).state == claim_state::won);
     old.reset();
     one.log.set_faults({.slow = 200ms});
-    const auto fresh = keeper::create(one.config, one.hooks());
+    const auto fresh = claim_arbiter::create(one.config, one.hooks());
     const auto unstarted = one.ask(fresh, make_claim(1, 2));
     fresh->start();
     const auto early = one.ask(fresh, make_claim(1, 3));
@@ -151,7 +151,7 @@
     one.log.trim(one.config.stream, log_offset{10});
     CHECK(code_of(one.decide(sleeper, make_claim(30, 30))) == result_code::claims_unavailable);
     CHECK(one.decide(sleeper, make_claim(20, 31)).state == claim_state::lost);
-    CHECK(sleeper->counters().state == keeper_state::serving);
+    CHECK(sleeper->counters().state == arbiter_state::serving);
 }
 
 TEST_CASE("a key is honoured for the window, then free in all keepers alike", "[claims]")
@@ -210,16 +210,16 @@
     // A caller's program uses one key twice by mistake. The second request is refused with not_run,
     // whether the first is decided or still on its way to the log.
     partition_fixture one;
-    const auto keeper = one.keep();
-    const auto first = one.ask(keeper, make_claim(1, 1, 10));
-    const auto at_once = one.ask(keeper, make_claim(1, 2, 20));
+    const auto arbiter = one.keep();
+    const auto first = one.ask(arbiter, make_claim(1, 1, 10));
+    const auto at_once = one.ask(arbiter, make_claim(1, 2, 20));
     one.time.run_for(1s);
     REQUIRE((*first && *at_once));
     CHECK((*first)->state == claim_state::won);
     CHECK(code_of(**at_once) == result_code::key_reused);
     CHECK((*at_once)->why->run == execution::not_run);
-    CHECK(code_of(one.decide(keeper, make_claim(1, 3, 20))) == result_code::key_reused);
-    CHECK(one.decide(keeper, make_claim(1, 4, 10)).state == claim_state::lost);
+    CHECK(code_of(one.decide(arbiter, make_claim(1, 3, 20))) == result_code::key_reused);
+    CHECK(one.decide(arbiter, make_claim(1, 4, 10)).state == claim_state::lost);
 }
 
 TEST_CASE("with the log down claims are refused at once and come back", "[claims]")
@@ -227,37 +227,37 @@
     // The caller gets claims_unavailable with not_run within a tenth of a second, not at its
     // deadline; keys that are known are still answered. When the log is back, so are claims.
     partition_fixture one;
-    const auto keeper = one.keep();
-    CHECK(one.decide(keeper, make_claim(1, 1)).state == claim_state::won);
+    const auto arbiter = one.keep();
+    CHECK(one.decide(arbiter, make_claim(1, 1)).state == claim_state::won);
     one.log.set_faults({.down = true});
     for (std::uint64_t key = 2; key < 10; ++key) {
-        const auto slot = one.ask(keeper, make_claim(key, key));
+        const auto slot = one.ask(arbiter, make_claim(key, key));
         one.time.run_for(100ms);
         REQUIRE(*slot);
         CHECK(code_of(**slot) == result_code::claims_unavailable);
         CHECK((*slot)->why->run == execution::not_run);
         CHECK((*slot)->why->retry_at.has_value());
     }
-    CHECK(one.decide(keeper, make_claim(1, 2)).state == claim_state::lost);
+    CHECK(one.decide(arbiter, make_claim(1, 2)).state == claim_state::lost);
     one.time.run_for(1min);
     one.log.set_faults({});
     one.time.run_for(one.config.longest_retry);
-    CHECK(one.decide(keeper, make_claim(2, 2)).state == claim_state::won);
+    CHECK(one.decide(arbiter, make_claim(2, 2)).state == claim_state::won);
 }
 
 TEST_CASE("the table is bounded and none is forgotten early", "[claims]")
 {
     partition_fixture one;
     one.config.max_keys = 10;
-    const auto keeper = one.keep();
+    const auto arbiter = one.keep();
     for (std::uint64_t key = 1; key <= 10; ++key) {
-        CHECK(one.decide(keeper, make_claim(key, key)).state == claim_state::won);
+        CHECK(one.decide(arbiter, make_claim(key, key)).state == claim_state::won);
     }
-    CHECK(code_of(one.decide(keeper, make_claim(11, 11))) == result_code::claims_unavailable);
-    CHECK(one.decide(keeper, make_claim(1, 12)).state == claim_state::lost);
+    CHECK(code_of(one.decide(arbiter, make_claim(11, 11))) == result_code::claims_unavailable);
+    CHECK(one.decide(arbiter, make_claim(1, 12)).state == claim_state::lost);
     one.time.run_for(one.config.window);
-    one.decide(keeper, make_claim(11, 11));
-    CHECK(one.decide(keeper, make_claim(11, 11)).state == claim_state::won);
+    one.decide(arbiter, make_claim(11, 11));
+    CHECK(one.decide(arbiter, make_claim(11, 11)).state == claim_state::won);
 }
 
 TEST_CASE("the first claim of a session name gives its version", "[claims]")
@@ -302,9 +302,9 @@
     }
     claim_batch ahead{{7, 7}, log_offset{~0ULL >> 1U}, {make_claim(1, 1)}};
     one.log.put(one.config.stream, serialise(ahead));
-    for (const auto& keeper : {first, one.keep()}) {
-        CHECK(one.decide(keeper, make_claim(1, 2)).holder.request == common::request_id{1, 1});
-        CHECK(keeper->counters().malformed_records == 4);
+    for (const auto& arbiter : {first, one.keep()}) {
+        CHECK(one.decide(arbiter, make_claim(1, 2)).holder.request == common::request_id{1, 1});
+        CHECK(arbiter->counters().malformed_records == 4);
     }
 }
 
@@ -332,21 +332,22 @@
     partition_fixture one;
     const std::vector<common::host_id> entries{
         common::host_id{"a"}, common::host_id{"b"}, common::host_id{"c"}};
-    std::map<common::host_id, std::unique_ptr<keeper_set>> sets;
+    std::map<common::host_id, std::unique_ptr<claim_arbiter_set>> sets;
     for (const auto& self : entries) {
-        sets[self] = std::make_unique<keeper_set>(keeper_set_config{self}, one.hooks());
+        sets[self] =
+            std::make_unique<claim_arbiter_set>(claim_arbiter_set_config{self}, one.hooks());
         sets[self]->update_entries(entries);
     }
     one.time.run_for(1s);
     std::uint64_t takeovers = 0;
     for (const auto& [self, set] : sets) {
         takeovers += set->counters().takeovers;
-        CHECK(set->counters().state == keeper_state::serving);
+        CHECK(set->counters().state == arbiter_state::serving);
     }
     CHECK(takeovers == std::uint64_t{2} * partition_count);
     for (std::uint64_t key = 1; key <= 50; ++key) {
         const auto claim = make_claim(key, 1);
-        const auto order = sets.begin()->second->order_for(claim);
+        const auto order = sets.begin()->second->ranked_entries(claim);
         CHECK(order.size() == 3);
         auto state = claim_state::refused;
         sets[order.front()]->claim(claim, [&](const auto& answer) { state = answer->state; });
--- a/source/unit_tests/claims/claim_table_test.cpp
+++ b/source/unit_tests/claims/claim_table_test.cpp
@@ -7,7 +7,7 @@
 #include <catch2/catch.hpp>
 
 #include "claims/claim_table.hpp"
-#include "claims/window_search.hpp"
+#include "claims/replay_start_search.hpp"
 #include "partition_fixture.hpp"
 
 namespace reedramp::claims {
@@ -58,7 +58,7 @@
     /// The table of a keeper that takes over now.
     auto taken_over() const -> claim_table
     {
-        window_search search;
+        replay_start_search search;
         std::optional<log_offset> first;
         while (!first) {
             first = search.on_answer(this->read(search.read_after()));
--- a/source/unit_tests/claims/claimant_test.cpp
+++ b/source/unit_tests/claims/claimant_test.cpp
@@ -7,7 +7,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "claims/client.hpp"
+#include "claims/claim_client.hpp"
 #include "partition_fixture.hpp"
 
 namespace reedramp::claims {
@@ -39,7 +39,7 @@
     };
 }
 
-auto unreachable_keeper(claimant& decide) -> claim_step
+auto unreachable_arbiter(claimant& decide) -> claim_step
 {
     return decide.on_claim(failure(result_code::peer_unavailable), start);
 }
@@ -75,7 +75,7 @@
         auto operator()(const send_claim& step) const -> std::string
         {
             const auto replaces = step.claim.replaces.value();
-            return "claim" + std::to_string(step.keeper_rank) + (replaces != 0 ? " anew" : "");
+            return "claim" + std::to_string(step.arbiter_rank) + (replaces != 0 ? " anew" : "");
         }
 
         auto operator()(const ask_holder& step) const -> std::string
@@ -120,10 +120,10 @@
         {"key reused",
          {claimed(claim_state::refused, result_code::key_reused)},
          "key_reused not_run"},
-        {"keeper lost", {unreachable_keeper}, "claim1"},
+        {"keeper lost", {unreachable_arbiter}, "claim1"},
         {"keeper takes over", {unavailable}, "claim1"},
         {"both keepers lost",
-         {unreachable_keeper, unreachable_keeper},
+         {unreachable_arbiter, unreachable_arbiter},
          "claims_unavailable not_run"},
         {"log down", {unavailable, unavailable}, "claims_unavailable not_run"},
         {"lost", {lost}, "ask engine-1"},
@@ -239,7 +239,7 @@
 /// Three entries, each with a keeper of the partition, that handle copies of a few keyed requests.
 struct keyed_world {
     partition_fixture one;
-    std::vector<std::shared_ptr<keeper>> keepers;
+    std::vector<std::shared_ptr<claim_arbiter>> arbiters;
     few_agents agents;
     std::mt19937 random;
     std::map<common::request_id, int> runs;
@@ -249,17 +249,17 @@
     explicit keyed_world(unsigned seed) : random(seed)
     {
         for (int entry = 0; entry < 3; ++entry) {
-            this->keepers.push_back(this->one.keep());
+            this->arbiters.push_back(this->one.keep());
         }
     }
 
-    auto hooks(std::size_t entry) -> client_hooks
+    auto hooks(std::size_t entry) -> claim_client_hooks
     {
         return {
             this->one.time.clock(),
             this->one.time.timers(),
             [this, entry](std::size_t rank, messages::claim_request claim, auto done) {
-                const auto& asked = this->keepers[(entry + rank) % this->keepers.size()];
+                const auto& asked = this->arbiters[(entry + rank) % this->arbiters.size()];
                 asked->claim(std::move(claim), [done](claim_answer answer) { done(answer); });
             },
             [this](const common::server_id& server, messages::outcome_query query, auto done) {
@@ -277,7 +277,7 @@
             this->hooks(this->random() % 3),
             claim,
             this->one.time.now() + 5s,
-            [this, claim, dies](claim_end end) {
+            [this, claim, dies](claim_result end) {
                 ++this->ends[describe(
                     std::visit([](auto& item) -> claim_step { return std::move(item); }, end))];
                 if (std::holds_alternative<claim_granted>(end) && !dies) {
@@ -293,8 +293,8 @@
             this->agents.replace(common::server_id{"engine-" + std::to_string(this->random() % 3)});
         }
         else if (seldom == 1) {
-            auto& lost = this->keepers[this->random() % 3];
-            lost = keeper::create(this->one.config, this->one.hooks());
+            auto& lost = this->arbiters[this->random() % 3];
+            lost = claim_arbiter::create(this->one.config, this->one.hooks());
             lost->start();
         }
         else if (seldom == 2) {
@@ -349,14 +349,14 @@
 TEST_CASE("a claim whose keeper never answers ends at the deadline", "[claims]")
 {
     partition_fixture one;
-    client_hooks hooks{
+    claim_client_hooks hooks{
         one.time.clock(),
         one.time.timers(),
         [](auto, auto, auto) {},
         [](auto&, auto, auto) {
         }};
     std::string ended;
-    claim_key({}, hooks, make_claim(1, 1), one.time.now() + 5s, [&](claim_end end) {
+    claim_key({}, hooks, make_claim(1, 1), one.time.now() + 5s, [&](claim_result end) {
         ended += describe(std::get<claim_refused>(std::move(end)));
     });
     one.time.run_for(4s);
--- a/source/unit_tests/claims/claims_measure_test.cpp
+++ b/source/unit_tests/claims/claims_measure_test.cpp
@@ -25,7 +25,7 @@
 /// All partitions' keepers and all gatherers of bills over one log.
 struct full_size {
     partition_fixture one;
-    std::vector<std::shared_ptr<keeper>> keepers;
+    std::vector<std::shared_ptr<claim_arbiter>> arbiters;
     std::vector<std::shared_ptr<billing::collector>> gatherers;
     std::vector<common::duration> waits;
     std::mt19937_64 random{42};
@@ -36,8 +36,8 @@
         for (std::uint32_t number = 0; number < request_partitions; ++number) {
             auto config = this->one.config;
             config.stream = stream_of(partition_id{number});
-            this->keepers.push_back(keeper::create(config, this->one.hooks()));
-            this->keepers.back()->start();
+            this->arbiters.push_back(claim_arbiter::create(config, this->one.hooks()));
+            this->arbiters.back()->start();
         }
         const auto hooks = this->one.hooks();
         for (std::size_t number = 0; number < billing::gatherer_count; ++number) {
@@ -53,7 +53,7 @@
         auto claim = make_claim(this->random(), this->random());
         claim.key = {this->random(), this->random()};
         const auto asked = this->one.time.now();
-        this->keepers[partition_of(claim).value()]->claim(claim, [this, asked](const auto& made) {
+        this->arbiters[partition_of(claim).value()]->claim(claim, [this, asked](const auto& made) {
             this->won += made.state == messages::claim_state::won ? 1 : 0;
             this->waits.push_back(this->one.time.now() - asked);
         });
@@ -98,8 +98,8 @@
         std::chrono::steady_clock::now() - started;
     const auto appends = all.one.log.append_count() - appends_before;
     std::uint64_t reads = 0;
-    for (const auto& keeper : all.keepers) {
-        reads += keeper->counters().reads;
+    for (const auto& arbiter : all.arbiters) {
+        reads += arbiter->counters().reads;
     }
     std::ranges::sort(all.waits);
     const auto own = std::chrono::duration<double, std::milli>{append_time}.count();
@@ -167,7 +167,7 @@
     const std::chrono::duration<double, std::milli> took =
         std::chrono::steady_clock::now() - started;
     std::printf("METRIC claim_takeover_cpu_ms %.0f ms\n", took.count());
-    CHECK(fresh->counters().state == keeper_state::serving);
+    CHECK(fresh->counters().state == arbiter_state::serving);
 }
 
 } // namespace reedramp::claims
--- a/source/unit_tests/claims/partition_fixture.hpp
+++ b/source/unit_tests/claims/partition_fixture.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "claims/keeper.hpp"
+#include "claims/claim_arbiter.hpp"
 #include "platform/fake_log.hpp"
 #include "platform/fake_time.hpp"
 
@@ -47,16 +47,16 @@
     platform::fake_time time{common::time_point{1h}};
     platform::fake_log log{time.clock(), time.timers()};
     std::uint64_t random = 0;
-    keeper_config config = make_config();
+    claim_arbiter_config config = make_config();
 
-    static auto make_config() -> keeper_config
+    static auto make_config() -> claim_arbiter_config
     {
-        keeper_config made;
+        claim_arbiter_config made;
         made.stream = "claims-00";
         return made;
     }
 
-    auto hooks() -> keeper_hooks
+    auto hooks() -> claim_arbiter_hooks
     {
         return {this->log.hooks(), this->time.clock(), this->time.timers(), [this] {
                     return ++this->random;
@@ -64,15 +64,15 @@
     }
 
     /// A keeper that has had a second to read the window.
-    auto keep() -> std::shared_ptr<keeper>
+    auto keep() -> std::shared_ptr<claim_arbiter>
     {
-        auto made = keeper::create(this->config, this->hooks());
+        auto made = claim_arbiter::create(this->config, this->hooks());
         made->start();
         this->time.run_for(1s);
         return made;
     }
 
-    static auto ask(const std::shared_ptr<keeper>& from, messages::claim_request claim)
+    static auto ask(const std::shared_ptr<claim_arbiter>& from, messages::claim_request claim)
         -> answer_slot
     {
         auto slot = std::make_shared<std::optional<messages::claim_answer>>();
@@ -82,7 +82,7 @@
     }
 
     /// Asks and waits until the log has decided.
-    auto decide(const std::shared_ptr<keeper>& from, messages::claim_request claim)
+    auto decide(const std::shared_ptr<claim_arbiter>& from, messages::claim_request claim)
         -> messages::claim_answer
     {
         const auto slot = ask(from, std::move(claim));
--- a/source/unit_tests/claims/threads_test.cpp
+++ b/source/unit_tests/claims/threads_test.cpp
@@ -96,17 +96,17 @@
     const auto next_random = [&random] {
         return ++random;
     };
-    const keeper_hooks hooks{log.hooks(), log.clock(), log.timers(), next_random};
-    const auto keeper = keeper::create(partition_fixture::make_config(), hooks);
+    const claim_arbiter_hooks hooks{log.hooks(), log.clock(), log.timers(), next_random};
+    const auto arbiter = claim_arbiter::create(partition_fixture::make_config(), hooks);
     inline_log bill_log;
     const auto collector =
         billing::collector::create({}, {bill_log.hooks(), log.clock(), log.timers(), next_random});
-    keeper->start();
+    arbiter->start();
     std::atomic<std::uint64_t> answers = 0;
     std::atomic<std::uint64_t> won = 0;
     const auto work = [&](std::uint64_t thread) {
         for (std::uint64_t key = 1; key <= keys; ++key) {
-            keeper->claim(make_claim(key, thread * keys + key), [&](const auto& answer) {
+            arbiter->claim(make_claim(key, thread * keys + key), [&](const auto& answer) {
                 ++answers;
                 won += answer.state == messages::claim_state::won ? 1 : 0;
             });
@@ -128,7 +128,7 @@
     }
     CHECK(answers == threads * keys);
     CHECK(won == keys);
-    CHECK(keeper->counters().pending == 0);
+    CHECK(arbiter->counters().pending == 0);
     CHECK(collector->counters().confirmed_bills == threads * keys);
 }
 
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -230,7 +230,7 @@
     gone.finished.reset();
 
     struct row {
-        claims::claim_end end;
+        claims::claim_result end;
         std::string problem;
         std::string execution;
         std::size_t bills;
@@ -256,7 +256,7 @@
     for (const auto& row : rows) {
         INFO(row.problem);
         world test;
-        test.claim_end = row.end;
+        test.claim_result = row.end;
         const auto caller = test.service("POST", key_header());
         CHECK(test.runs.empty());
         CHECK(caller->answers == 1);
@@ -288,7 +288,7 @@
     CHECK(caller->body == "kept");
 
     // With the log down, what may run twice goes on without a claim.
-    test.claim_end = claims::claim_refused{common::make_error(result_code::claims_unavailable)};
+    test.claim_result = claims::claim_refused{common::make_error(result_code::claims_unavailable)};
     test.service("GET", key_header());
     CHECK(test.runs.size() == 3);
 }
--- a/source/unit_tests/entry/world.cpp
+++ b/source/unit_tests/entry/world.cpp
@@ -309,9 +309,9 @@
     };
     parts.claim = [this](messages::claim_request claim, common::time_point, const auto& done) {
         this->claims.push_back(claim);
-        const claims::claim_end granted =
+        const claims::claim_result granted =
             claims::claim_granted{claim, common::log_offset(this->claims.size())};
-        done(this->claim_end.value_or(granted));
+        done(this->claim_result.value_or(granted));
     };
     parts.take_limits = [this](const auto&, const auto&) -> common::result<void> {
         if (this->limit) {
--- a/source/unit_tests/entry/world.hpp
+++ b/source/unit_tests/entry/world.hpp
@@ -117,7 +117,7 @@
     std::vector<messages::bill> bills;
     std::vector<common::server_id> servers;
     /// How claims end; unset: granted.
-    std::optional<claims::claim_end> claim_end;
+    std::optional<claims::claim_result> claim_result;
     std::vector<messages::claim_request> claims;
     bool accepts_bills = true;
     bool knows_servers = true;
--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -97,7 +97,7 @@
         if (node != nullptr) {
             node->alive->revive();
             node->core->shut_down(this->time.now(), [](std::size_t) {});
-            node->keepers->stop();
+            node->claim_arbiters->stop();
             node->follower->stop();
         }
     }
@@ -233,7 +233,7 @@
     watching.now = this->time.clock();
     watching.timer = node.alive->timers();
     watching.entries_changed = [at = &node](std::vector<common::host_id> found) {
-        at->keepers->update_entries(std::move(found));
+        at->claim_arbiters->update_entries(std::move(found));
     };
     node.hosts = std::make_shared<membership::host_watch>(
         here, std::size_t{2}, std::move(watching), node.members);
@@ -252,13 +252,13 @@
 
 auto fleet::make_claims(entry_node& node) -> void
 {
-    node.keepers = std::make_shared<claims::keeper_set>(
-        claims::keeper_set_config{node.host},
-        claims::keeper_hooks{
+    node.claim_arbiters = std::make_shared<claims::claim_arbiter_set>(
+        claims::claim_arbiter_set_config{node.host},
+        claims::claim_arbiter_hooks{
             this->log_for(node.alive), this->time.clock(), node.alive->timers(), this->random});
     entry_program::claim_route::parts route;
     route.self = node.host;
-    route.keepers = node.keepers;
+    route.claim_arbiters = node.claim_arbiters;
     route.hosts = node.hosts;
     route.members = node.members;
     route.peers = this->net.peers_for(node.alive);
@@ -378,7 +378,7 @@
         done(at->follower->answer(pull));
     };
     offered->peer.claim = [at](auto claim, auto done) {
-        at->keepers->claim(std::move(claim), std::move(done));
+        at->claim_arbiters->claim(std::move(claim), std::move(done));
     };
     offered->peer.hand_over = [at](auto items, auto done) {
         at->bills->receive(std::move(items), std::move(done));
@@ -450,7 +450,7 @@
 
 auto fleet::leave(entry_node& node) -> void
 {
-    node.keepers->stop();
+    node.claim_arbiters->stop();
     node.left = true;
     node.alive->kill();
     this->net.close(node.address);
--- a/source/unit_tests/whole_path/fleet.hpp
+++ b/source/unit_tests/whole_path/fleet.hpp
@@ -10,7 +10,7 @@
 
 #include "agent/core.hpp"
 #include "billing/collector.hpp"
-#include "claims/keeper_set.hpp"
+#include "claims/claim_arbiter_set.hpp"
 #include "entry/claim_route.hpp"
 #include "entry/core.hpp"
 #include "entry/placer.hpp"
@@ -84,7 +84,7 @@
     std::shared_ptr<entry::placer> placer;
     std::shared_ptr<inventory::follower> follower;
     std::shared_ptr<inventory::publisher> publisher;
-    std::shared_ptr<claims::keeper_set> keepers;
+    std::shared_ptr<claims::claim_arbiter_set> claim_arbiters;
     std::shared_ptr<entry_program::claim_route> claiming;
     std::shared_ptr<billing::collector> bills;
     std::shared_ptr<limits::share_keeper> shares;
