--- a/source/core/entry/filter_claim.cpp
+++ b/source/core/entry/filter_claim.cpp
@@ -76,7 +76,7 @@
     fail_request(item, refused.why);
 }
 
-auto on_claim_end(const exchange_ptr& item, const claims::claim_end& end) -> void
+auto on_claim_end(const exchange_ptr& item, const claims::claim_result& end) -> void
 {
     if (item->ended) {
         return;
@@ -105,7 +105,7 @@
         on_refused(item, {why, std::nullopt});
         return filter_step::stop;
     }
-    hooks.claim(make_claim_request(*item), item->deadline, [item](claims::claim_end end) {
+    hooks.claim(make_claim_request(*item), item->deadline, [item](claims::claim_result end) {
         post(item, [end = std::move(end)](const exchange_ptr& self) { on_claim_end(self, end); });
     });
     return filter_step::stop;
--- a/source/entry/claim_router.cpp
+++ b/source/entry/claim_router.cpp
@@ -16,7 +16,7 @@
     messages::claim_request wanted,
     messages::answer_hook<messages::claim_answer> done) -> void
 {
-    const auto order = this->deps.claim_arbiters->order_for(wanted, rank + 1);
+    const auto order = this->deps.claim_arbiters->ranked_entries(wanted, rank + 1);
     if (rank >= order.size()) {
         done(common::failure(common::result_code::peer_unavailable, "no further entry"));
         return;
@@ -28,7 +28,7 @@
     }
     const auto address = this->deps.hosts->address_of(arbiter);
     if (address.value().empty()) {
-        done(common::failure(common::result_code::peer_unavailable, "no address of the keeper"));
+        done(common::failure(common::result_code::peer_unavailable, "no address of the arbiter"));
         return;
     }
     this->deps.peers.claim(address, std::move(wanted), std::move(done));
@@ -50,9 +50,9 @@
 auto claim_router::claim_key(
     messages::claim_request wanted,
     common::time_point deadline,
-    std::function<auto(claims::claim_end end)->void> done) -> void
+    std::function<auto(claims::claim_result end)->void> done) -> void
 {
-    claims::client_hooks hooks;
+    claims::claim_client_hooks hooks;
     hooks.now = this->deps.now;
     hooks.timer = this->deps.timer;
     hooks.claim = [self = this->shared_from_this()](
@@ -61,10 +61,10 @@
                       messages::answer_hook<messages::claim_answer> answer) {
         self->call_arbiter(rank, std::move(claim), std::move(answer));
     };
-    hooks.ask = [self = this->shared_from_this()](
-                    const common::server_id& server,
-                    const messages::outcome_query& query,
-                    messages::answer_hook<messages::outcome_answer> answer) {
+    hooks.query_outcome = [self = this->shared_from_this()](
+                              const common::server_id& server,
+                              const messages::outcome_query& query,
+                              messages::answer_hook<messages::outcome_answer> answer) {
         self->query_agent(server, query, std::move(answer));
     };
     claims::claim_key({}, hooks, std::move(wanted), deadline, std::move(done));
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -162,9 +162,9 @@
 
 auto entry_process::make_claims() -> void
 {
-    this->claim_arbiters = std::make_shared<claims::keeper_set>(
-        claims::keeper_set_config{this->settings.self.host},
-        claims::keeper_hooks{
+    this->claim_arbiters = std::make_shared<claims::claim_arbiter_set>(
+        claims::claim_arbiter_set_config{this->settings.self.host},
+        claims::claim_arbiter_hooks{
             this->log, daemon::boot_time, this->threads.timers(), daemon::random_bits});
     claim_router::dependencies route;
     route.self = this->settings.self.host;
