--- a/source/core/claims/claim_arbiter.hpp
+++ b/source/core/claims/claim_arbiter.hpp
@@ -13,35 +13,38 @@
 #include "messages/peer.hpp"
 #include "platform/hooks.hpp"
 
-/// At most once for a caller's key, whichever entry gets the retry: the log's order decides who
-/// holds a key.
+/// At-most-once execution of requests with an idempotency key, whichever entry receives a retry.
+/// The order of claims in the log decides which request holds a key.
 namespace reedramp::claims {
 
 struct claim_arbiter_config {
-    /// The partition's stream.
+    /// Name of the partition's stream.
     std::string stream;
-    /// Least time between the starts of two appends. 16 keepers append at most 276 times a second.
+    /// Minimum time between the starts of two appends: at most 276 appends per second for the 16
+    /// request partitions together.
     common::duration append_interval = std::chrono::milliseconds{58};
-    /// How long a claim waits for others when the last append is longer ago than that.
+    /// How long a claim waits for others to join its batch, if `append_interval` has passed
+    /// already.
     common::duration batch_wait = std::chrono::milliseconds{5};
-    /// Claims of one append.
-    std::size_t batch_claims = 512;
-    /// Appends under way at once, so that a slow log does not add its time twice.
-    std::size_t appends_in_flight = 16;
-    /// Claims that wait for the log; further ones are refused.
-    std::size_t pending_claims = 4096;
-    /// Keys in the table; at this number new keys are refused and none is forgotten early.
+    /// Claims per append.
+    std::size_t max_batch_claims = 512;
+    /// Concurrent appends. More than one, so that with a slow log a claim waits for its own append
+    /// only.
+    std::size_t max_appends_in_flight = 16;
+    /// Claims that wait for the log; further claims are refused.
+    std::size_t max_pending_claims = 4096;
+    /// Keys in the table. New keys are refused at this limit; no key is evicted early.
     std::size_t max_keys = 200'000;
-    /// A claim that the log has not decided by then is refused.
-    common::duration answer_within = std::chrono::seconds{2};
-    /// A call of the log that has not answered by then counts as one whose answer is lost.
-    common::duration log_call_within = std::chrono::seconds{5};
-    /// A key is honoured for at least this long after its last claim. Half of the log's retention
-    /// at most: a keeper that takes over reads two windows.
+    /// A claim that is still undecided after this time is refused.
+    common::duration answer_timeout = std::chrono::seconds{2};
+    /// Timeout of a log call; its outcome is unknown then.
+    common::duration log_call_timeout = std::chrono::seconds{5};
+    /// Minimum time that a key is kept after its last claim. At most half of the log's retention,
+    /// since an arbiter that takes over reads two windows.
     common::duration window = std::chrono::minutes{10};
-    /// Wait before the log is tried again after it could not be reached; doubles up to the longest.
-    common::duration first_retry = std::chrono::milliseconds{250};
-    common::duration longest_retry = std::chrono::seconds{4};
+    /// Delay before an unreachable log is tried again; doubles up to `max_retry_wait`.
+    common::duration initial_retry_wait = std::chrono::milliseconds{250};
+    common::duration max_retry_wait = std::chrono::seconds{4};
 };
 
 struct claim_arbiter_hooks {
@@ -53,10 +56,10 @@
 
 enum class arbiter_state : std::uint8_t {
     stopped,
-    /// Reads the window; refuses all claims.
+    /// Replaying the window; refuses all claims.
     starting,
     serving,
-    /// The log cannot be reached; answers only what the table knows.
+    /// The log is unreachable; answers only from the table.
     log_down
 };
 
@@ -77,16 +80,16 @@
 
 /// Decides the claims of one partition.
 ///
-/// It gathers claims into batches and appends them; a claim is answered `won` only when its record
-/// and all records before it were taken, with no earlier claim of the key. It needs no lease: two
-/// keepers that both serve a partition see the same log and so the same winner.
+/// Collects claims into batches and appends them to the log. A claim is `won` only after its record
+/// and all earlier records have been applied and none of them holds an earlier claim of the key. No
+/// lease is needed: if two arbiters serve a partition, both see the same log and the same winner.
 ///
-/// A refusal (`claims_unavailable`, `not_run`) is no statement about the log: the claim may still
-/// appear there. That is harmless, since its request is never sent to the agent it names; whoever
-/// loses to it asks that agent, which records a refusal and so frees the key.
+/// A refusal (`claims_unavailable`, `not_run`) says nothing about the log: the claim may still be
+/// appended. That is harmless, because its request is never sent to the agent that the claim names.
+/// A request that loses to it queries that agent, which records a refusal and so frees the key.
 ///
 /// Thread-safe; hooks are called outside the lock. Timers and log calls hold weak references, so
-/// that the object may go at any time; claims not yet answered are then never answered.
+/// the object may be destroyed at any time; claims without an answer are then never answered.
 class claim_arbiter {
 public:
     static auto create(claim_arbiter_config config, claim_arbiter_hooks hooks)
@@ -94,17 +97,17 @@
 
     virtual ~claim_arbiter() = default;
 
-    /// Begins to read the window. Repeats do nothing.
+    /// Starts to replay the window. Further calls do nothing.
     virtual auto start() -> void = 0;
 
-    /// Refuses what waits and all that comes.
+    /// Refuses all pending and future claims.
     virtual auto stop() -> void = 0;
 
-    /// Claims a key; `done` is called exactly once, at once or later, from any thread.
+    /// Claims a key. `done` is called exactly once, from any thread, possibly before this returns.
     ///
-    /// The answer is `won`; `lost` with the claim that holds; or `refused` with `key_reused`
-    /// (another body) or `claims_unavailable`. For a session name, the holder's `version` is the
-    /// session's version whether the claim won or lost.
+    /// The answer is `won`; `lost` with the claim that holds the key; or `refused` with
+    /// `key_reused` (the key was used with another body) or `claims_unavailable`. For a session
+    /// name, the holder's `version` is the session's version whether the claim won or lost.
     virtual auto claim(
         messages::claim_request request,
         std::function<auto(messages::claim_answer answer)->void> done) -> void = 0;
--- a/source/core/claims/claim_arbiter_core.cpp
+++ b/source/core/claims/claim_arbiter_core.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// A session name is answered from the table for this part of its window since it was last read
-/// back; later it is renewed first. It is so remembered for the rest of the window, 15/16, after
-/// its last use.
+/// A session name is answered from the table until 1/16 of the window has passed since its last
+/// record was read; after that it is renewed first. A name is therefore kept for at least 15/16 of
+/// the window after its last use.
 constexpr int renewals_per_window = 16;
 
-auto verdict_on(const messages::claim_request& claim, const held_claim& held) -> claim_state
+auto verdict_for(const messages::claim_request& claim, const held_claim& held) -> claim_state
 {
     return same_claim(held.claim, claim) ? claim_state::won : claim_state::lost;
 }
@@ -48,48 +48,48 @@
 }
 
 claim_arbiter_core::claim_arbiter_core(claim_arbiter_config settings, claim_arbiter_hooks given)
-    : config(std::move(settings)), hooks(std::move(given)), age(this->config.window),
-      retry_wait(this->config.first_retry)
+    : config(std::move(settings)), hooks(std::move(given)), offset_ages(this->config.window),
+      retry_wait(this->config.initial_retry_wait)
 {
 }
 
 auto claim_arbiter_core::start() -> void
 {
-    this->with_lock([this](time_point now, actions& todo) {
+    this->with_lock([this](time_point now, actions& deferred) {
         if (this->state == arbiter_state::stopped) {
-            this->take_over(now, todo);
+            this->take_over(now, deferred);
         }
     });
 }
 
 auto claim_arbiter_core::stop() -> void
 {
-    this->with_lock([this](time_point now, actions& todo) {
+    this->with_lock([this](time_point now, actions& deferred) {
         this->state = arbiter_state::stopped;
-        this->refuse_waiting(now, todo);
-        this->reading = 0;
+        this->refuse_pending(now, deferred);
+        this->current_read = 0;
     });
 }
 
-auto claim_arbiter_core::claim(messages::claim_request request, claim_hook done) -> void
+auto claim_arbiter_core::claim(messages::claim_request request, claim_callback done) -> void
 {
-    this->with_lock([&](time_point now, actions& todo) {
+    this->with_lock([&](time_point now, actions& deferred) {
         ++this->pending;
-        waiting_claim item{
+        pending_claim item{
             request,
             request,
             std::move(done),
             now + this->config.batch_wait,
-            now + this->config.answer_within};
-        this->decide(std::move(item), now, todo);
-        this->schedule(now, todo);
+            now + this->config.answer_timeout};
+        this->decide(std::move(item), now, deferred);
+        this->schedule(now, deferred);
     });
 }
 
 auto claim_arbiter_core::counters() const -> claim_arbiter_counters
 {
     const std::lock_guard guard(this->lock);
-    auto counters = this->counted;
+    auto counters = this->totals;
     counters.state = this->state;
     counters.keys = this->table.size();
     counters.pending = this->pending;
@@ -97,74 +97,77 @@
     return counters;
 }
 
-auto claim_arbiter_core::decide(waiting_claim item, time_point now, actions& todo) -> void
+auto claim_arbiter_core::decide(pending_claim item, time_point now, actions& deferred) -> void
 {
     if (this->state == arbiter_state::stopped || this->state == arbiter_state::starting) {
-        this->refuse(item, result_code::claims_unavailable, now, todo);
+        this->refuse(item, result_code::claims_unavailable, now, deferred);
         return;
     }
-    if (const auto found = this->busy.find(item.claim.key); found != this->busy.end()) {
-        if (this->pending > this->config.pending_claims) {
-            this->refuse(item, result_code::claims_unavailable, now, todo);
+    if (const auto found = this->unresolved_keys.find(item.claim.key);
+        found != this->unresolved_keys.end()) {
+        if (this->pending > this->config.max_pending_claims) {
+            this->refuse(item, result_code::claims_unavailable, now, deferred);
             return;
         }
         found->second.push_back(std::move(item));
         return;
     }
-    if (this->answer_from_table(item, now, todo)) {
+    if (this->answer_from_table(item, now, deferred)) {
         return;
     }
-    const auto has_room = this->pending <= this->config.pending_claims && !this->is_full(now);
+    const auto has_room =
+        this->pending <= this->config.max_pending_claims && !this->is_table_full(now);
     if (this->state == arbiter_state::log_down || !has_room) {
-        this->refuse(item, result_code::claims_unavailable, now, todo);
+        this->refuse(item, result_code::claims_unavailable, now, deferred);
         return;
     }
-    this->busy.try_emplace(item.claim.key);
-    this->open.push_back(std::move(item));
+    this->unresolved_keys.try_emplace(item.claim.key);
+    this->next_batch.push_back(std::move(item));
 }
 
-auto claim_arbiter_core::answer_from_table(waiting_claim& item, time_point now, actions& todo)
+auto claim_arbiter_core::answer_from_table(pending_claim& item, time_point now, actions& deferred)
     -> bool
 {
-    const auto held = this->find_live(item.claim.key, now);
+    const auto held = this->find_unexpired(item.claim.key, now);
     if (!held) {
         return false;
     }
     if (held->claim.body != item.claim.body) {
-        this->refuse(item, result_code::key_reused, now, todo);
+        this->refuse(item, result_code::key_reused, now, deferred);
         return true;
     }
     if (is_session_name(held->claim)) {
-        return this->answer_session(item, *held, now, todo);
+        return this->answer_session(item, *held, now, deferred);
     }
     if (same_claim(held->claim, item.claim)) {
-        this->answer(item, claim_state::won, *held, todo);
+        this->answer(item, claim_state::won, *held, deferred);
         return true;
     }
     if (item.claim.replaces != held->offset) {
-        this->answer(item, claim_state::lost, *held, todo);
+        this->answer(item, claim_state::lost, *held, deferred);
         return true;
     }
-    if (!held->certain) {
-        this->refuse(item, result_code::claims_unavailable, now, todo);
+    if (!held->is_certain) {
+        this->refuse(item, result_code::claims_unavailable, now, deferred);
         return true;
     }
     return false;
 }
 
 auto claim_arbiter_core::answer_session(
-    waiting_claim& item, const held_claim& held, time_point now, actions& todo) -> bool
+    pending_claim& item, const held_claim& held, time_point now, actions& deferred) -> bool
 {
-    if (!held.certain) {
-        this->refuse(item, result_code::claims_unavailable, now, todo);
+    if (!held.is_certain) {
+        this->refuse(item, result_code::claims_unavailable, now, deferred);
         return true;
     }
-    // Another keeper may have let the name run out and given it a new version, which this one would
-    // learn only from the log. So a name that is not known to be young is answered from the table
-    // only after its renewal was read back; that also keeps a name that is in use alive.
-    const auto young = this->age.first_younger_than(this->config.window / renewals_per_window, now);
-    if (held.last >= young && held.last > this->taken_over_at) {
-        this->answer(item, verdict_on(item.claim, held), held, todo);
+    // Another arbiter may have let the name expire and granted it with a new version, which this
+    // one learns only from the log. A name without a recent record is therefore renewed, and
+    // answered after the renewal was applied. This also keeps names in use from expiring.
+    const auto first_recent =
+        this->offset_ages.first_younger_than(this->config.window / renewals_per_window, now);
+    if (held.last_claimed >= first_recent && held.last_claimed > this->takeover_offset) {
+        this->answer(item, verdict_for(item.claim, held), held, deferred);
         return true;
     }
     item.record = held.claim;
@@ -172,148 +175,151 @@
     return false;
 }
 
-auto claim_arbiter_core::find_live(const common::request_id& key, time_point now) const
+auto claim_arbiter_core::find_unexpired(const common::request_id& key, time_point now) const
     -> std::optional<held_claim>
 {
     auto held = this->table.find(key);
-    // The horizon moves with the next record; a key that it will forget is free already.
-    if (held && held->last < this->age.first_younger_than(this->config.window, now)) {
+    // A key that the horizon of the next record will expire is free already.
+    if (held &&
+        held->last_claimed < this->offset_ages.first_younger_than(this->config.window, now)) {
         return std::nullopt;
     }
     return held;
 }
 
-auto claim_arbiter_core::is_full(time_point now) -> bool
+auto claim_arbiter_core::is_table_full(time_point now) -> bool
 {
-    if (this->table.size() + this->busy.size() < this->config.max_keys) {
+    if (this->table.size() + this->unresolved_keys.size() < this->config.max_keys) {
         return false;
     }
-    // Keys go only when a record carries a later horizon, and a full table makes no records.
-    const auto horizon = this->age.first_younger_than(this->config.window, now);
+    // Keys expire only through a record with a later horizon, and a full table appends no claims.
+    const auto horizon = this->offset_ages.first_younger_than(this->config.window, now);
     this->prune_wanted = horizon > this->table.horizon();
     return true;
 }
 
-auto claim_arbiter_core::settle(flight decided, time_point now, actions& todo) -> void
+auto claim_arbiter_core::finish_batch(submitted_batch decided, time_point now, actions& deferred)
+    -> void
 {
     for (auto& item : decided.claims) {
-        this->settle_one(item, now, todo);
+        this->answer_decided(item, now, deferred);
     }
     for (const auto& record : decided.content.claims) {
-        this->release(record.key, now, todo);
+        this->release_key(record.key, now, deferred);
     }
 }
 
-auto claim_arbiter_core::settle_one(waiting_claim& item, time_point now, actions& todo) -> void
+auto claim_arbiter_core::answer_decided(pending_claim& item, time_point now, actions& deferred)
+    -> void
 {
     if (!item.done) {
         return;
     }
     const auto held = this->table.find(item.claim.key);
     if (!held) {
-        this->refuse(item, result_code::claims_unavailable, now, todo);
+        this->refuse(item, result_code::claims_unavailable, now, deferred);
         return;
     }
     if (held->claim.body != item.claim.body) {
-        this->refuse(item, result_code::key_reused, now, todo);
+        this->refuse(item, result_code::key_reused, now, deferred);
         return;
     }
-    this->answer(item, verdict_on(item.claim, *held), *held, todo);
+    this->answer(item, verdict_for(item.claim, *held), *held, deferred);
 }
 
 auto claim_arbiter_core::answer(
-    waiting_claim& item, claim_state verdict, const held_claim& held, actions& todo) -> void
+    pending_claim& item, claim_state verdict, const held_claim& held, actions& deferred) -> void
 {
-    ++(verdict == claim_state::won ? this->counted.won : this->counted.lost);
+    ++(verdict == claim_state::won ? this->totals.won : this->totals.lost);
     --this->pending;
     messages::claim_answer made;
     made.state = verdict;
     made.holder = held.claim;
     made.holder.organisation = item.claim.organisation;
     made.offset = held.offset;
-    todo.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
+    deferred.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
 }
 
 auto claim_arbiter_core::refuse(
-    waiting_claim& item, result_code code, time_point now, actions& todo) -> void
+    pending_claim& item, result_code code, time_point now, actions& deferred) -> void
 {
     if (!item.done) {
         return;
     }
-    ++this->counted.refused;
+    ++this->totals.refused;
     --this->pending;
     messages::claim_answer made;
     made.state = claim_state::refused;
     made.why = common::make_error(code, "partition=" + this->config.stream);
     if (code == result_code::claims_unavailable) {
-        made.why->retry_at = now + this->config.first_retry;
+        made.why->retry_at = now + this->config.initial_retry_wait;
     }
-    todo.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
+    deferred.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
 }
 
-auto claim_arbiter_core::refuse_late(
-    std::vector<waiting_claim>& list, time_point now, actions& todo) -> void
+auto claim_arbiter_core::refuse_expired(
+    std::vector<pending_claim>& list, time_point now, actions& deferred) -> void
 {
     for (auto& item : list) {
         if (now >= item.deadline) {
-            this->refuse(item, result_code::claims_unavailable, now, todo);
+            this->refuse(item, result_code::claims_unavailable, now, deferred);
         }
     }
 }
 
-auto claim_arbiter_core::sweep(time_point now, actions& todo) -> void
+auto claim_arbiter_core::refuse_all_expired(time_point now, actions& deferred) -> void
 {
-    const auto is_answered = [](const waiting_claim& item) {
+    const auto is_answered = [](const pending_claim& item) {
         return !item.done;
     };
-    for (auto& [number, item] : this->sent) {
-        this->refuse_late(item.claims, now, todo);
+    for (auto& [number, item] : this->submitted) {
+        this->refuse_expired(item.claims, now, deferred);
     }
-    for (auto& [key, list] : this->busy) {
-        this->refuse_late(list, now, todo);
+    for (auto& [key, list] : this->unresolved_keys) {
+        this->refuse_expired(list, now, deferred);
         std::erase_if(list, is_answered);
     }
-    this->refuse_late(this->open, now, todo);
-    std::vector<common::request_id> unsent;
-    for (const auto& item : this->open) {
+    this->refuse_expired(this->next_batch, now, deferred);
+    std::vector<common::request_id> emptied_keys;
+    for (const auto& item : this->next_batch) {
         if (is_answered(item)) {
-            unsent.push_back(item.claim.key);
+            emptied_keys.push_back(item.claim.key);
         }
     }
-    std::erase_if(this->open, is_answered);
-    for (const auto& key : unsent) {
-        this->release(key, now, todo);
+    std::erase_if(this->next_batch, is_answered);
+    for (const auto& key : emptied_keys) {
+        this->release_key(key, now, deferred);
     }
 }
 
-auto claim_arbiter_core::refuse_waiting(time_point now, actions& todo) -> void
+auto claim_arbiter_core::refuse_pending(time_point now, actions& deferred) -> void
 {
-    const auto refuse_all = [&](std::vector<waiting_claim>& list) {
+    const auto refuse_all = [&](std::vector<pending_claim>& list) {
         for (auto& item : list) {
-            this->refuse(item, result_code::claims_unavailable, now, todo);
+            this->refuse(item, result_code::claims_unavailable, now, deferred);
         }
     };
-    refuse_all(this->open);
-    for (auto& [number, item] : this->sent) {
+    refuse_all(this->next_batch);
+    for (auto& [number, item] : this->submitted) {
         refuse_all(item.claims);
     }
-    for (auto& [key, list] : this->busy) {
+    for (auto& [key, list] : this->unresolved_keys) {
         refuse_all(list);
     }
-    this->open.clear();
-    this->sent.clear();
-    this->busy.clear();
+    this->next_batch.clear();
+    this->submitted.clear();
+    this->unresolved_keys.clear();
 }
 
-auto claim_arbiter_core::release(const common::request_id& key, time_point now, actions& todo)
-    -> void
+auto claim_arbiter_core::release_key(
+    const common::request_id& key, time_point now, actions& deferred) -> void
 {
-    auto released = this->busy.extract(key);
+    auto released = this->unresolved_keys.extract(key);
     if (released.empty()) {
         return;
     }
     for (auto& item : released.mapped()) {
-        this->decide(std::move(item), now, todo);
+        this->decide(std::move(item), now, deferred);
     }
 }
 
--- a/source/core/claims/claim_arbiter_core.hpp
+++ b/source/core/claims/claim_arbiter_core.hpp
@@ -23,10 +23,13 @@
 
 namespace reedramp::claims {
 
-using claim_hook = std::function<auto(messages::claim_answer answer)->void>;
+using claim_callback = std::function<auto(messages::claim_answer answer)->void>;
 
-/// The keeper; see `keeper`. Its members are in two files: keeper_core.cpp decides and answers
-/// claims, keeper_log.cpp appends and reads.
+/// Implementation of `claim_arbiter`. claim_arbiter_core.cpp decides and answers claims,
+/// claim_arbiter_log.cpp appends to and reads from the log.
+///
+/// Members with a parameter `deferred` run under the lock and add to it the callbacks and hook
+/// calls that are to run after unlocking.
 class claim_arbiter_core final : public claim_arbiter,
                                  public std::enable_shared_from_this<claim_arbiter_core> {
 public:
@@ -34,111 +37,119 @@
 
     auto start() -> void override;
     auto stop() -> void override;
-    auto claim(messages::claim_request request, claim_hook done) -> void override;
+    auto claim(messages::claim_request request, claim_callback done) -> void override;
     [[nodiscard]] auto counters() const -> claim_arbiter_counters override;
 
 private:
     using action = std::function<auto()->void>;
     using actions = std::vector<action>;
 
-    /// A claim that waits for its answer.
-    struct waiting_claim {
+    /// A claim without an answer yet.
+    struct pending_claim {
         messages::claim_request claim;
-        /// What goes into the record: the claim, or the holder's to renew a session name.
+        /// The claim to append: `claim`, or the holder's claim to renew a session name.
         messages::claim_request record;
-        /// Empty once it was called.
-        claim_hook done;
-        /// When it is to be sent, even alone.
-        common::time_point due;
+        /// Empty after it was called.
+        claim_callback done;
+        /// Time at which it is appended even if it is alone in its batch.
+        common::time_point send_by;
         common::time_point deadline;
     };
 
-    /// Claims of one key that wait while another one is with the log.
-    using followers = std::vector<waiting_claim>;
+    /// Claims of one key that wait until an earlier claim of the key is decided.
+    using queued_claims = std::vector<pending_claim>;
 
-    enum class flight_stage : std::uint8_t { sending, unknown, kept };
+    enum class batch_stage : std::uint8_t { sending, unknown, appended };
 
-    /// A batch that was given to the log and is not yet decided.
-    struct flight {
+    /// A batch passed to the log whose claims are not decided yet.
+    struct submitted_batch {
         claim_batch content;
-        std::vector<waiting_claim> claims;
-        flight_stage stage = flight_stage::sending;
-        /// Where the log says it is, once `kept`.
+        std::vector<pending_claim> claims;
+        batch_stage stage = batch_stage::sending;
+        /// Offset in the log; valid if `appended`.
         common::log_offset offset;
-        /// Order in which the batches were sent.
+        /// Sequence number of the batch.
         std::uint64_t number = 0;
-        /// When the call is given up.
-        common::time_point until;
-        /// Number of the last read that was started before the outcome became unknown.
-        std::uint64_t unknown_since = 0;
+        /// Time at which the append call times out.
+        common::time_point call_deadline;
+        /// Number of the last read started before the outcome became unknown. A later read that
+        /// does not find the batch shows that it is missing from the log.
+        std::uint64_t last_read_before_unknown = 0;
     };
 
-    using flights = std::map<std::uint64_t, flight>;
+    using submitted_batches = std::map<std::uint64_t, submitted_batch>;
 
-    // keeper_core.cpp: claims and their answers
-    auto decide(waiting_claim item, common::time_point now, actions& todo) -> void;
-    auto answer_from_table(waiting_claim& item, common::time_point now, actions& todo) -> bool;
+    // claim_arbiter_core.cpp: claims and their answers
+    auto decide(pending_claim item, common::time_point now, actions& deferred) -> void;
+    auto answer_from_table(pending_claim& item, common::time_point now, actions& deferred) -> bool;
     auto answer_session(
-        waiting_claim& item, const held_claim& held, common::time_point now, actions& todo) -> bool;
-    auto find_live(const common::request_id& key, common::time_point now) const
+        pending_claim& item, const held_claim& held, common::time_point now, actions& deferred)
+        -> bool;
+    auto find_unexpired(const common::request_id& key, common::time_point now) const
         -> std::optional<held_claim>;
-    auto is_full(common::time_point now) -> bool;
-    auto settle(flight decided, common::time_point now, actions& todo) -> void;
-    auto settle_one(waiting_claim& item, common::time_point now, actions& todo) -> void;
-    auto
-    answer(waiting_claim& item, messages::claim_state state, const held_claim& held, actions& todo)
+    auto is_table_full(common::time_point now) -> bool;
+    auto finish_batch(submitted_batch decided, common::time_point now, actions& deferred) -> void;
+    auto answer_decided(pending_claim& item, common::time_point now, actions& deferred) -> void;
+    auto answer(
+        pending_claim& item, messages::claim_state state, const held_claim& held, actions& deferred)
         -> void;
     auto
-    refuse(waiting_claim& item, common::result_code code, common::time_point now, actions& todo)
+    refuse(pending_claim& item, common::result_code code, common::time_point now, actions& deferred)
+        -> void;
+    auto refuse_expired(std::vector<pending_claim>& list, common::time_point now, actions& deferred)
         -> void;
-    auto refuse_late(std::vector<waiting_claim>& list, common::time_point now, actions& todo)
+    auto refuse_all_expired(common::time_point now, actions& deferred) -> void;
+    auto refuse_pending(common::time_point now, actions& deferred) -> void;
+    auto release_key(const common::request_id& key, common::time_point now, actions& deferred)
         -> void;
-    auto sweep(common::time_point now, actions& todo) -> void;
-    auto refuse_waiting(common::time_point now, actions& todo) -> void;
-    auto release(const common::request_id& key, common::time_point now, actions& todo) -> void;
-
-    // keeper_log.cpp: time and the log
-    auto schedule(common::time_point now, actions& todo) -> void;
-    auto give_up_calls(common::time_point now, actions& todo) -> void;
-    [[nodiscard]] auto send_time() const -> common::time_point;
-    [[nodiscard]] auto next_time() const -> common::time_point;
-    auto call_at(common::time_point when, actions& todo) -> void;
+
+    // claim_arbiter_log.cpp: timers and log calls
+    auto schedule(common::time_point now, actions& deferred) -> void;
+    auto expire_log_calls(common::time_point now, actions& deferred) -> void;
+    [[nodiscard]] auto next_send_time() const -> common::time_point;
+    [[nodiscard]] auto next_timer_time() const -> common::time_point;
+    auto set_timer(common::time_point when, actions& deferred) -> void;
     auto on_timer(common::time_point when) -> void;
-    auto send_batch(common::time_point now, actions& todo) -> void;
-    auto append(const flight& item, actions& todo) -> void;
+    auto send_batch(common::time_point now, actions& deferred) -> void;
+    auto append(const submitted_batch& item, actions& deferred) -> void;
     auto on_appended(std::uint64_t number, common::result<common::log_offset> result) -> void;
-    auto mark_unknown(flight& item, common::time_point now, actions& todo) -> void;
-    auto take_kept(common::time_point now, actions& todo) -> void;
-    auto start_read(common::time_point now, actions& todo) -> void;
-    auto on_read(std::uint64_t turn, common::result<platform::read_answer> result) -> void;
-    auto on_search(const platform::read_answer& found, common::time_point now, actions& todo)
+    auto mark_unknown(submitted_batch& item, common::time_point now, actions& deferred) -> void;
+    auto apply_appended(common::time_point now, actions& deferred) -> void;
+    auto start_read(common::time_point now, actions& deferred) -> void;
+    auto on_read(std::uint64_t read_number, common::result<platform::read_answer> result) -> void;
+    auto
+    on_search_answer(const platform::read_answer& found, common::time_point now, actions& deferred)
         -> void;
-    auto back_off(common::time_point now) -> void;
-    auto take_records(
-        std::uint64_t turn,
+    auto schedule_retry(common::time_point now) -> void;
+    auto apply_records(
+        std::uint64_t read_number,
         const platform::read_answer& read,
         common::time_point now,
-        actions& todo) -> void;
-    auto take_record(const messages::log_record& record, common::time_point now, actions& todo)
+        actions& deferred) -> void;
+    auto apply_record(const messages::log_record& record, common::time_point now, actions& deferred)
+        -> void;
+    auto apply_batch(common::log_offset offset, const claim_batch& batch, common::time_point now)
         -> void;
-    auto take(common::log_offset offset, const claim_batch& batch, common::time_point now) -> void;
-    auto reached_head(std::uint64_t turn, common::time_point now, actions& todo) -> void;
-    auto resolve_unknown(std::uint64_t turn, common::time_point now, actions& todo) -> void;
-    auto on_read_failed(const common::error& why, common::time_point now, actions& todo) -> void;
-    auto go_down(common::time_point now, actions& todo) -> void;
-    auto take_over(common::time_point now, actions& todo) -> void;
-
-    /// Runs `change(now, todo)` under the lock, then the actions that it collected outside it.
+    auto on_head_reached(std::uint64_t read_number, common::time_point now, actions& deferred)
+        -> void;
+    auto resolve_missing(std::uint64_t read_number, common::time_point now, actions& deferred)
+        -> void;
+    auto on_read_failed(const common::error& why, common::time_point now, actions& deferred)
+        -> void;
+    auto on_log_unavailable(common::time_point now, actions& deferred) -> void;
+    auto take_over(common::time_point now, actions& deferred) -> void;
+
+    /// Runs `change(now, deferred)` under the lock, then the deferred actions outside it.
     template <typename Change>
     auto with_lock(Change change) -> void
     {
         const auto now = this->hooks.now();
-        actions todo;
+        actions deferred;
         {
             const std::lock_guard guard(this->lock);
-            change(now, todo);
+            change(now, deferred);
         }
-        for (const auto& step : todo) {
+        for (const auto& step : deferred) {
             step();
         }
     }
@@ -149,34 +160,34 @@
     mutable std::mutex lock;
     arbiter_state state = arbiter_state::stopped;
     claim_table table;
-    offset_age_tracker age;
-    /// Last offset that was read when this keeper took over; older records' age is not known.
-    common::log_offset taken_over_at;
-    /// Set while the start of the window is looked for.
-    std::optional<replay_start_search> search;
+    offset_age_tracker offset_ages;
+    /// Last offset read at takeover. The age of records up to it is not known.
+    common::log_offset takeover_offset;
+    /// Set while the start of the replay is being determined.
+    std::optional<replay_start_search> start_search;
 
     /// Claims of the next batch.
-    std::vector<waiting_claim> open;
-    /// A batch is wanted though it may be empty, so that its horizon makes room in the table.
+    std::vector<pending_claim> next_batch;
+    /// A batch is sent even if it is empty, so that its horizon expires keys of the full table.
     bool prune_wanted = false;
-    flights sent;
-    std::uint64_t batches = 0;
-    /// Keys that are in `open` or `sent`, and who else waits for them.
-    std::unordered_map<common::request_id, followers> busy;
+    submitted_batches submitted;
+    std::uint64_t batch_count = 0;
+    /// Keys in `next_batch` or `submitted`, with the further claims that wait for them.
+    std::unordered_map<common::request_id, queued_claims> unresolved_keys;
     std::size_t pending = 0;
 
     common::time_point next_send{};
-    common::time_point next_sweep{};
-    common::time_point timer_at = common::never;
-    /// When the log is tried again, while it is down or a start has failed.
+    common::time_point next_expiry_check{};
+    common::time_point timer_due = common::never;
+    /// Time of the next read after the log was unreachable.
     common::time_point retry_at = common::never;
     common::duration retry_wait{};
-    /// Number of the read under way, or 0; and when it is given up.
-    std::uint64_t reading = 0;
+    /// Number of the read in flight, or 0 if there is none.
+    std::uint64_t current_read = 0;
     std::uint64_t reads = 0;
-    common::time_point read_until{};
+    common::time_point read_deadline{};
     bool read_again = false;
-    claim_arbiter_counters counted;
+    claim_arbiter_counters totals;
 };
 
 } // namespace reedramp::claims
--- a/source/core/claims/claim_arbiter_log.cpp
+++ b/source/core/claims/claim_arbiter_log.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-/// How often claims that have waited too long are looked for.
-constexpr auto sweep_interval = std::chrono::milliseconds{100};
+/// Interval between searches for claims whose deadline has passed.
+constexpr auto expiry_check_interval = std::chrono::milliseconds{100};
 
-auto say(common::log_level level, const claim_arbiter_config& config, const std::string& sentence)
+auto log_line(
+    common::log_level level, const claim_arbiter_config& config, const std::string& sentence)
     -> void
 {
     common::log(common::log_part::claims, level, "partition=" + config.stream + " " + sentence);
@@ -24,77 +25,78 @@
 
 } // namespace
 
-auto claim_arbiter_core::schedule(time_point now, actions& todo) -> void
+auto claim_arbiter_core::schedule(time_point now, actions& deferred) -> void
 {
     if (this->state == arbiter_state::stopped) {
         return;
     }
-    if (now >= this->next_sweep) {
-        this->sweep(now, todo);
-        this->next_sweep = now + sweep_interval;
+    if (now >= this->next_expiry_check) {
+        this->refuse_all_expired(now, deferred);
+        this->next_expiry_check = now + expiry_check_interval;
     }
-    this->give_up_calls(now, todo);
+    this->expire_log_calls(now, deferred);
     if (now >= this->retry_at) {
         this->retry_at = common::never;
-        this->start_read(now, todo);
+        this->start_read(now, deferred);
     }
-    if (now >= this->send_time()) {
-        this->send_batch(now, todo);
+    if (now >= this->next_send_time()) {
+        this->send_batch(now, deferred);
     }
-    this->call_at(this->next_time(), todo);
+    this->set_timer(this->next_timer_time(), deferred);
 }
 
-auto claim_arbiter_core::give_up_calls(time_point now, actions& todo) -> void
+auto claim_arbiter_core::expire_log_calls(time_point now, actions& deferred) -> void
 {
-    for (auto& [number, item] : this->sent) {
-        if (item.stage == flight_stage::sending && now >= item.until) {
-            this->mark_unknown(item, now, todo);
+    for (auto& [number, item] : this->submitted) {
+        if (item.stage == batch_stage::sending && now >= item.call_deadline) {
+            this->mark_unknown(item, now, deferred);
         }
     }
-    if (this->reading != 0 && now >= this->read_until) {
-        this->reading = 0;
+    if (this->current_read != 0 && now >= this->read_deadline) {
+        this->current_read = 0;
         this->on_read_failed(
-            common::make_error(result_code::log_unavailable, "a read took too long"), now, todo);
+            common::make_error(result_code::log_unavailable, "log read timed out"), now, deferred);
     }
 }
 
-auto claim_arbiter_core::send_time() const -> time_point
+auto claim_arbiter_core::next_send_time() const -> time_point
 {
-    const auto has_something = !this->open.empty() || this->prune_wanted;
-    const auto may_send =
-        this->state == arbiter_state::serving && this->sent.size() < this->config.appends_in_flight;
+    const auto has_something = !this->next_batch.empty() || this->prune_wanted;
+    const auto may_send = this->state == arbiter_state::serving &&
+                          this->submitted.size() < this->config.max_appends_in_flight;
     if (!has_something || !may_send) {
         return common::never;
     }
-    const auto is_full = this->open.size() >= this->config.batch_claims;
-    const auto due = is_full || this->open.empty() ? time_point{} : this->open.front().due;
-    return std::max(due, this->next_send);
+    const auto is_batch_full = this->next_batch.size() >= this->config.max_batch_claims;
+    const auto send_by =
+        is_batch_full || this->next_batch.empty() ? time_point{} : this->next_batch.front().send_by;
+    return std::max(send_by, this->next_send);
 }
 
-auto claim_arbiter_core::next_time() const -> time_point
+auto claim_arbiter_core::next_timer_time() const -> time_point
 {
-    auto next = std::min(this->retry_at, this->send_time());
+    auto next = std::min(this->retry_at, this->next_send_time());
     if (this->pending != 0) {
-        next = std::min(next, this->next_sweep);
+        next = std::min(next, this->next_expiry_check);
     }
-    if (this->reading != 0) {
-        next = std::min(next, this->read_until);
+    if (this->current_read != 0) {
+        next = std::min(next, this->read_deadline);
     }
-    for (const auto& [number, item] : this->sent) {
-        if (item.stage == flight_stage::sending) {
-            next = std::min(next, item.until);
+    for (const auto& [number, item] : this->submitted) {
+        if (item.stage == batch_stage::sending) {
+            next = std::min(next, item.call_deadline);
         }
     }
     return next;
 }
 
-auto claim_arbiter_core::call_at(time_point when, actions& todo) -> void
+auto claim_arbiter_core::set_timer(time_point when, actions& deferred) -> void
 {
-    if (when >= this->timer_at) {
+    if (when >= this->timer_due) {
         return;
     }
-    this->timer_at = when;
-    todo.push_back([this, when, weak = this->weak_from_this()] {
+    this->timer_due = when;
+    deferred.push_back([this, when, weak = this->weak_from_this()] {
         this->hooks.timer(when, [weak, when] {
             if (const auto self = weak.lock()) {
                 self->on_timer(when);
@@ -105,38 +107,39 @@
 
 auto claim_arbiter_core::on_timer(time_point when) -> void
 {
-    this->with_lock([this, when](time_point now, actions& todo) {
-        if (this->timer_at == when) {
-            this->timer_at = common::never;
+    this->with_lock([this, when](time_point now, actions& deferred) {
+        if (this->timer_due == when) {
+            this->timer_due = common::never;
         }
-        this->schedule(now, todo);
+        this->schedule(now, deferred);
     });
 }
 
-auto claim_arbiter_core::send_batch(time_point now, actions& todo) -> void
+auto claim_arbiter_core::send_batch(time_point now, actions& deferred) -> void
 {
-    flight item;
+    submitted_batch item;
     item.content.id = {this->hooks.random(), this->hooks.random()};
-    item.content.horizon =
-        std::max(this->table.horizon(), this->age.first_younger_than(this->config.window, now));
-    const auto count = std::min(this->open.size(), this->config.batch_claims);
+    item.content.horizon = std::max(
+        this->table.horizon(), this->offset_ages.first_younger_than(this->config.window, now));
+    const auto count = std::min(this->next_batch.size(), this->config.max_batch_claims);
     for (std::size_t index = 0; index < count; ++index) {
-        item.content.claims.push_back(this->open[index].record);
-        item.claims.push_back(std::move(this->open[index]));
+        item.content.claims.push_back(this->next_batch[index].record);
+        item.claims.push_back(std::move(this->next_batch[index]));
     }
-    this->open.erase(this->open.begin(), this->open.begin() + static_cast<std::ptrdiff_t>(count));
-    item.number = ++this->batches;
-    item.until = now + this->config.log_call_within;
+    this->next_batch.erase(
+        this->next_batch.begin(), this->next_batch.begin() + static_cast<std::ptrdiff_t>(count));
+    item.number = ++this->batch_count;
+    item.call_deadline = now + this->config.log_call_timeout;
     this->next_send = now + this->config.append_interval;
     this->prune_wanted = false;
-    this->append(item, todo);
-    this->sent.emplace(item.number, std::move(item));
+    this->append(item, deferred);
+    this->submitted.emplace(item.number, std::move(item));
 }
 
-auto claim_arbiter_core::append(const flight& item, actions& todo) -> void
+auto claim_arbiter_core::append(const submitted_batch& item, actions& deferred) -> void
 {
-    ++this->counted.appends;
-    todo.push_back(
+    ++this->totals.appends;
+    deferred.push_back(
         [this, number = item.number, content = item.content, weak = this->weak_from_this()] {
             auto done = [weak, number](common::result<log_offset> result) {
                 if (const auto self = weak.lock()) {
@@ -150,246 +153,264 @@
 auto claim_arbiter_core::on_appended(std::uint64_t number, common::result<log_offset> result)
     -> void
 {
-    this->with_lock([&](time_point now, actions& todo) {
-        const auto found = this->sent.find(number);
-        if (found == this->sent.end()) {
+    this->with_lock([&](time_point now, actions& deferred) {
+        const auto found = this->submitted.find(number);
+        if (found == this->submitted.end()) {
             return;
         }
         if (result) {
-            found->second.stage = flight_stage::kept;
+            found->second.stage = batch_stage::appended;
             found->second.offset = *result;
-            this->take_kept(now, todo);
+            this->apply_appended(now, deferred);
         }
         else if (result.error().code == result_code::append_unknown) {
-            this->mark_unknown(found->second, now, todo);
+            this->mark_unknown(found->second, now, deferred);
         }
         else {
-            this->go_down(now, todo);
+            this->on_log_unavailable(now, deferred);
         }
-        this->schedule(now, todo);
+        this->schedule(now, deferred);
     });
 }
 
-auto claim_arbiter_core::mark_unknown(flight& item, time_point now, actions& todo) -> void
+auto claim_arbiter_core::mark_unknown(submitted_batch& item, time_point now, actions& deferred)
+    -> void
 {
-    // The batch may be in the log. A read that starts from now on tells.
-    item.stage = flight_stage::unknown;
-    item.unknown_since = this->reads;
-    this->start_read(now, todo);
+    // The batch may be in the log; only a read started from now on can show whether it is.
+    item.stage = batch_stage::unknown;
+    item.last_read_before_unknown = this->reads;
+    this->start_read(now, deferred);
 }
 
-auto claim_arbiter_core::take_kept(time_point now, actions& todo) -> void
+auto claim_arbiter_core::apply_appended(time_point now, actions& deferred) -> void
 {
-    // While this keeper alone appends, its batches follow each other without a gap, and none has to
-    // be read back: what lies before them was taken.
-    const auto is_next = [this](const flights::value_type& item) {
-        return item.second.stage == flight_stage::kept &&
+    // As long as only this arbiter appends, its batches have consecutive offsets and need not be
+    // read back: all records before them have been applied.
+    const auto is_next = [this](const submitted_batches::value_type& item) {
+        return item.second.stage == batch_stage::appended &&
                item.second.offset.value() == this->table.applied().value() + 1;
     };
-    auto found = std::ranges::find_if(this->sent, is_next);
-    while (found != this->sent.end()) {
+    auto found = std::ranges::find_if(this->submitted, is_next);
+    while (found != this->submitted.end()) {
         auto item = std::move(found->second);
-        this->sent.erase(found);
-        this->take(item.offset, item.content, now);
-        this->settle(std::move(item), now, todo);
-        found = std::ranges::find_if(this->sent, is_next);
+        this->submitted.erase(found);
+        this->apply_batch(item.offset, item.content, now);
+        this->finish_batch(std::move(item), now, deferred);
+        found = std::ranges::find_if(this->submitted, is_next);
     }
-    // An earlier batch that is still under way may fill the gap; else another keeper's record does.
-    const auto first_known = std::ranges::find_if(
-        this->sent, [](const auto& item) { return item.second.stage != flight_stage::sending; });
-    const auto is_gap = first_known != this->sent.end() && first_known == this->sent.begin();
-    if (is_gap && first_known->second.stage == flight_stage::kept) {
-        this->start_read(now, todo);
+    // A gap may be an earlier batch that is still in flight. Otherwise it is another arbiter's
+    // record and has to be read.
+    const auto first_known = std::ranges::find_if(this->submitted, [](const auto& item) {
+        return item.second.stage != batch_stage::sending;
+    });
+    const auto is_gap =
+        first_known != this->submitted.end() && first_known == this->submitted.begin();
+    if (is_gap && first_known->second.stage == batch_stage::appended) {
+        this->start_read(now, deferred);
     }
 }
 
-auto claim_arbiter_core::start_read(time_point now, actions& todo) -> void
+auto claim_arbiter_core::start_read(time_point now, actions& deferred) -> void
 {
-    if (this->reading != 0) {
+    if (this->current_read != 0) {
         this->read_again = true;
         return;
     }
     this->read_again = false;
-    this->reading = ++this->reads;
-    this->read_until = now + this->config.log_call_within;
-    const auto after = this->search ? this->search->read_after() : this->table.applied();
-    todo.push_back([this, after, turn = this->reading, weak = this->weak_from_this()] {
-        auto done = [weak, turn](common::result<platform::read_answer> result) {
-            if (const auto self = weak.lock()) {
-                self->on_read(turn, std::move(result));
-            }
-        };
-        this->hooks.log.read(
-            this->config.stream, after, std::chrono::milliseconds::zero(), std::move(done));
-    });
+    this->current_read = ++this->reads;
+    this->read_deadline = now + this->config.log_call_timeout;
+    const auto after =
+        this->start_search ? this->start_search->read_after() : this->table.applied();
+    deferred.push_back(
+        [this, after, read_number = this->current_read, weak = this->weak_from_this()] {
+            auto done = [weak, read_number](common::result<platform::read_answer> result) {
+                if (const auto self = weak.lock()) {
+                    self->on_read(read_number, std::move(result));
+                }
+            };
+            this->hooks.log.read(
+                this->config.stream, after, std::chrono::milliseconds::zero(), std::move(done));
+        });
 }
 
-auto claim_arbiter_core::on_read(std::uint64_t turn, common::result<platform::read_answer> result)
-    -> void
+auto claim_arbiter_core::on_read(
+    std::uint64_t read_number, common::result<platform::read_answer> result) -> void
 {
-    this->with_lock([&](time_point now, actions& todo) {
-        if (turn != this->reading) {
+    this->with_lock([&](time_point now, actions& deferred) {
+        if (read_number != this->current_read) {
             return;
         }
-        this->reading = 0;
+        this->current_read = 0;
         if (!result) {
-            this->on_read_failed(result.error(), now, todo);
+            this->on_read_failed(result.error(), now, deferred);
         }
-        else if (this->search) {
-            this->on_search(*result, now, todo);
+        else if (this->start_search) {
+            this->on_search_answer(*result, now, deferred);
         }
         else {
-            this->take_records(turn, *result, now, todo);
+            this->apply_records(read_number, *result, now, deferred);
         }
-        this->schedule(now, todo);
+        this->schedule(now, deferred);
     });
 }
 
-auto claim_arbiter_core::on_search(
-    const platform::read_answer& found, time_point now, actions& todo) -> void
+auto claim_arbiter_core::on_search_answer(
+    const platform::read_answer& found, time_point now, actions& deferred) -> void
 {
-    if (const auto first = this->search->on_answer(found)) {
-        this->search.reset();
+    if (const auto first = this->start_search->on_answer(found)) {
+        this->start_search.reset();
         this->table.reset(*first);
-        say(common::log_level::info,
+        log_line(
+            common::log_level::info,
             this->config,
-            "reads its window from=" + std::to_string(first->value()) +
+            "replaying the stream from=" + std::to_string(first->value()) +
                 " head=" + std::to_string(found.head.value()));
     }
-    this->start_read(now, todo);
+    this->start_read(now, deferred);
 }
 
-auto claim_arbiter_core::take_records(
-    std::uint64_t turn, const platform::read_answer& read, time_point now, actions& todo) -> void
+auto claim_arbiter_core::apply_records(
+    std::uint64_t read_number, const platform::read_answer& read, time_point now, actions& deferred)
+    -> void
 {
     for (const auto& record : read.records) {
         if (record.offset > this->table.applied()) {
-            this->take_record(record, now, todo);
+            this->apply_record(record, now, deferred);
         }
     }
     if (read.records.empty() || this->table.applied() >= read.head) {
-        this->reached_head(turn, now, todo);
+        this->on_head_reached(read_number, now, deferred);
         return;
     }
-    this->start_read(now, todo);
+    this->start_read(now, deferred);
 }
 
-auto claim_arbiter_core::take_record(
-    const messages::log_record& record, time_point now, actions& todo) -> void
+auto claim_arbiter_core::apply_record(
+    const messages::log_record& record, time_point now, actions& deferred) -> void
 {
     const auto batch = parse(record.data);
     if (!batch) {
-        ++this->counted.malformed_records;
+        ++this->totals.malformed_records;
         this->table.skip(record.offset);
-        say(common::log_level::warning,
+        log_line(
+            common::log_level::warning,
             this->config,
-            "record skipped offset=" + std::to_string(record.offset.value()));
+            "malformed record skipped offset=" + std::to_string(record.offset.value()));
         return;
     }
-    this->take(record.offset, *batch, now);
-    const auto ours = std::ranges::find_if(
-        this->sent, [&batch](const auto& item) { return item.second.content.id == batch->id; });
-    if (ours != this->sent.end()) {
-        auto item = std::move(ours->second);
-        this->sent.erase(ours);
-        this->settle(std::move(item), now, todo);
+    this->apply_batch(record.offset, *batch, now);
+    const auto own = std::ranges::find_if(this->submitted, [&batch](const auto& item) {
+        return item.second.content.id == batch->id;
+    });
+    if (own != this->submitted.end()) {
+        auto item = std::move(own->second);
+        this->submitted.erase(own);
+        this->finish_batch(std::move(item), now, deferred);
     }
 }
 
-auto claim_arbiter_core::take(log_offset offset, const claim_batch& batch, time_point now) -> void
+auto claim_arbiter_core::apply_batch(log_offset offset, const claim_batch& batch, time_point now)
+    -> void
 {
     this->table.apply(offset, batch);
-    this->age.on_record(offset, now);
+    this->offset_ages.on_record(offset, now);
 }
 
-auto claim_arbiter_core::reached_head(std::uint64_t turn, time_point now, actions& todo) -> void
+auto claim_arbiter_core::on_head_reached(
+    std::uint64_t read_number, time_point now, actions& deferred) -> void
 {
-    this->retry_wait = this->config.first_retry;
+    this->retry_wait = this->config.initial_retry_wait;
     if (this->state == arbiter_state::starting) {
-        this->taken_over_at = this->table.applied();
-        this->age.reset(this->taken_over_at, now);
+        this->takeover_offset = this->table.applied();
+        this->offset_ages.reset(this->takeover_offset, now);
     }
     if (this->state != arbiter_state::serving) {
         this->state = arbiter_state::serving;
-        say(common::log_level::info,
+        log_line(
+            common::log_level::info,
             this->config,
-            "serves keys=" + std::to_string(this->table.size()));
+            "serving claims keys=" + std::to_string(this->table.size()));
     }
-    this->resolve_unknown(turn, now, todo);
-    this->take_kept(now, todo);
+    this->resolve_missing(read_number, now, deferred);
+    this->apply_appended(now, deferred);
     if (this->read_again) {
-        this->start_read(now, todo);
+        this->start_read(now, deferred);
     }
 }
 
-auto claim_arbiter_core::resolve_unknown(std::uint64_t turn, time_point now, actions& todo) -> void
+auto claim_arbiter_core::resolve_missing(
+    std::uint64_t read_number, time_point now, actions& deferred) -> void
 {
-    for (auto found = this->sent.begin(); found != this->sent.end();) {
+    for (auto found = this->submitted.begin(); found != this->submitted.end();) {
         auto& item = found->second;
-        const auto is_lost = item.stage == flight_stage::unknown && item.unknown_since < turn;
+        const auto is_lost =
+            item.stage == batch_stage::unknown && item.last_read_before_unknown < read_number;
         const auto is_absent =
-            item.stage == flight_stage::kept && item.offset <= this->table.applied();
+            item.stage == batch_stage::appended && item.offset <= this->table.applied();
         if (!is_lost && !is_absent) {
             ++found;
             continue;
         }
         const auto is_wanted = std::ranges::any_of(
-            item.claims, [](const waiting_claim& claim) { return claim.done != nullptr; });
+            item.claims, [](const pending_claim& claim) { return claim.done != nullptr; });
         if (is_wanted) {
-            // The log was read to its head without it. Should the first copy come later all the
-            // same, it is a second mention of the claims that hold, and changes nothing.
-            item.stage = flight_stage::sending;
-            item.until = now + this->config.log_call_within;
-            this->append(item, todo);
+            // The log was read to its head without finding the batch. If the first copy is still
+            // appended later, it repeats the same claims and changes nothing.
+            item.stage = batch_stage::sending;
+            item.call_deadline = now + this->config.log_call_timeout;
+            this->append(item, deferred);
             ++found;
             continue;
         }
         auto dropped = std::move(item);
-        found = this->sent.erase(found);
-        this->settle(std::move(dropped), now, todo);
+        found = this->submitted.erase(found);
+        this->finish_batch(std::move(dropped), now, deferred);
     }
 }
 
-auto claim_arbiter_core::on_read_failed(const common::error& why, time_point now, actions& todo)
+auto claim_arbiter_core::on_read_failed(const common::error& why, time_point now, actions& deferred)
     -> void
 {
     if (why.code == result_code::log_trimmed) {
-        say(common::log_level::warning, this->config, "the log was trimmed past this keeper");
-        this->refuse_waiting(now, todo);
+        log_line(
+            common::log_level::warning,
+            this->config,
+            "log trimmed beyond the last record read; replaying");
+        this->refuse_pending(now, deferred);
         this->state = arbiter_state::starting;
-        this->search.emplace();
-        this->back_off(now);
+        this->start_search.emplace();
+        this->schedule_retry(now);
         return;
     }
     if (this->state == arbiter_state::serving) {
-        this->go_down(now, todo);
+        this->on_log_unavailable(now, deferred);
         return;
     }
-    this->back_off(now);
+    this->schedule_retry(now);
 }
 
-auto claim_arbiter_core::go_down(time_point now, actions& todo) -> void
+auto claim_arbiter_core::on_log_unavailable(time_point now, actions& deferred) -> void
 {
-    say(common::log_level::warning, this->config, "the log cannot be reached");
-    this->refuse_waiting(now, todo);
+    log_line(common::log_level::warning, this->config, "log unavailable");
+    this->refuse_pending(now, deferred);
     if (this->state == arbiter_state::serving) {
         this->state = arbiter_state::log_down;
     }
-    this->back_off(now);
+    this->schedule_retry(now);
 }
 
-auto claim_arbiter_core::back_off(time_point now) -> void
+auto claim_arbiter_core::schedule_retry(time_point now) -> void
 {
     this->retry_at = now + this->retry_wait;
-    this->retry_wait = std::min(this->retry_wait * 2, this->config.longest_retry);
+    this->retry_wait = std::min(this->retry_wait * 2, this->config.max_retry_wait);
 }
 
-auto claim_arbiter_core::take_over(time_point now, actions& todo) -> void
+auto claim_arbiter_core::take_over(time_point now, actions& deferred) -> void
 {
-    ++this->counted.takeovers;
+    ++this->totals.takeovers;
     this->state = arbiter_state::starting;
-    this->search.emplace();
-    this->start_read(now, todo);
+    this->start_search.emplace();
+    this->start_read(now, deferred);
 }
 
 } // namespace reedramp::claims
--- a/source/core/claims/claim_arbiter_set.cpp
+++ b/source/core/claims/claim_arbiter_set.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// The first serves; the second has read the window already when the first is lost.
-constexpr std::size_t prepared_keepers = 2;
+/// The first serves; the second has already replayed the window if the first fails.
+constexpr std::size_t arbiters_per_partition = 2;
 
 auto ranked(partition_id partition, const std::vector<common::host_id>& entries)
     -> std::vector<common::host_id>
@@ -46,13 +46,13 @@
         std::erase_if(this->retired, is_idle);
         for (std::uint32_t number = 0; number < partition_count && !this->stopped; ++number) {
             const partition_id partition{number};
-            auto& mine = this->arbiters.at(number);
-            if (this->wants(partition)) {
-                started.push_back(this->obtain(partition));
+            auto& current = this->arbiters.at(number);
+            if (this->should_serve(partition)) {
+                started.push_back(this->get_or_create(partition));
             }
-            else if (mine) {
-                // Claims that it has under way are still decided; it gets no new ones.
-                this->retired.push_back(std::exchange(mine, nullptr));
+            else if (current) {
+                // It gets no new claims but still decides its pending ones.
+                this->retired.push_back(std::exchange(current, nullptr));
             }
         }
     }
@@ -73,19 +73,19 @@
 auto claim_arbiter_set::claim(
     messages::claim_request request, messages::answer_hook<messages::claim_answer> done) -> void
 {
-    arbiter_ptr responsible;
+    arbiter_ptr arbiter;
     {
         const std::lock_guard guard(this->lock);
         if (!this->stopped) {
-            responsible = this->obtain(partition_of(request));
+            arbiter = this->get_or_create(partition_of(request));
         }
     }
-    if (!responsible) {
-        done(common::failure(common::result_code::shutting_down, "the keeper has stopped"));
+    if (!arbiter) {
+        done(common::failure(common::result_code::shutting_down, "claim arbiter has stopped"));
         return;
     }
-    responsible->start();
-    responsible->claim(std::move(request), [done = std::move(done)](messages::claim_answer made) {
+    arbiter->start();
+    arbiter->claim(std::move(request), [done = std::move(done)](messages::claim_answer made) {
         done(std::move(made));
     });
 }
@@ -138,24 +138,24 @@
     return sum;
 }
 
-auto claim_arbiter_set::wants(partition_id partition) const -> bool
+auto claim_arbiter_set::should_serve(partition_id partition) const -> bool
 {
     const auto order = ranked(partition, this->entries);
-    const auto prepared = std::min(order.size(), prepared_keepers);
-    const auto end = order.begin() + static_cast<std::ptrdiff_t>(prepared);
+    const auto count = std::min(order.size(), arbiters_per_partition);
+    const auto end = order.begin() + static_cast<std::ptrdiff_t>(count);
     return std::find(order.begin(), end, this->config.self) != end;
 }
 
-auto claim_arbiter_set::obtain(partition_id partition) -> arbiter_ptr
+auto claim_arbiter_set::get_or_create(partition_id partition) -> arbiter_ptr
 {
-    auto& mine = this->arbiters.at(partition.value());
-    if (!mine) {
+    auto& current = this->arbiters.at(partition.value());
+    if (!current) {
         const auto is_name = partition.value() >= request_partitions;
         auto settings = is_name ? this->config.names : this->config.requests;
         settings.stream = stream_of(partition);
-        mine = claim_arbiter::create(std::move(settings), this->hooks);
+        current = claim_arbiter::create(std::move(settings), this->hooks);
     }
-    return mine;
+    return current;
 }
 
 } // namespace reedramp::claims
--- a/source/core/claims/claim_client.cpp
+++ b/source/core/claims/claim_client.cpp
@@ -10,124 +10,133 @@
 using common::result_code;
 using common::time_point;
 
-/// One claim under way. It lives until its deadline.
-class claim_run : public std::enable_shared_from_this<claim_run> {
+/// One claim in progress. Kept alive by its timer until the deadline.
+class claim_operation : public std::enable_shared_from_this<claim_operation> {
 public:
-    claim_run(
+    claim_operation(
         const claimant_config& config,
         claim_client_hooks given,
-        messages::claim_request wanted,
+        messages::claim_request claim,
         time_point until,
         std::function<auto(claim_result end)->void> when_done)
-        : hooks(std::move(given)), decisions(config, std::move(wanted), until), deadline(until),
+        : hooks(std::move(given)), state_machine(config, std::move(claim), until), deadline(until),
           done(std::move(when_done))
     {
     }
 
     auto start() -> void
     {
-        // The timer holds the run: a keeper that is torn down drops its callbacks uncalled, and
-        // with them all else that refers to the run, whose caller would then wait for ever.
-        this->hooks.timer(this->deadline, [self = this->shared_from_this()] { self->give_up(); });
-        this->step([](claimant& decide, time_point) { return decide.start(); }, 0);
+        // The timer keeps this object alive. An arbiter that is destroyed drops its callbacks
+        // without calling them; without the timer the caller would then never get a result.
+        this->hooks.timer(
+            this->deadline, [self = this->shared_from_this()] { self->on_deadline(); });
+        this->advance([](claimant& machine, time_point) { return machine.start(); }, 0);
     }
 
 private:
-    /// Takes an event of turn `expected`, unless that turn was given up, and carries out what the
-    /// claimant decides, outside the lock.
+    /// Passes the result of step `expected_step` to the claimant and executes its next step outside
+    /// the lock. Results of an abandoned step are ignored.
     template <typename Event>
-    auto step(Event event, std::uint64_t expected) -> void
+    auto advance(Event event, std::uint64_t expected_step) -> void
     {
         const auto now = this->hooks.now();
         std::optional<claim_step> next;
-        std::uint64_t turn = 0;
+        std::uint64_t step_number = 0;
         {
             const std::lock_guard guard(this->lock);
-            if (expected != this->turns) {
+            if (expected_step != this->current_step) {
                 return;
             }
-            turn = ++this->turns;
-            next = event(this->decisions, now);
+            step_number = ++this->current_step;
+            next = event(this->state_machine, now);
             this->awaits_arbiter = std::holds_alternative<send_claim>(*next);
-            this->awaits_agent = std::holds_alternative<ask_holder>(*next);
+            this->awaits_agent = std::holds_alternative<query_agent>(*next);
         }
-        std::visit([this, turn](auto& wanted) { this->carry_out(wanted, turn); }, *next);
+        std::visit([this, step_number](auto& step) { this->execute(step, step_number); }, *next);
     }
 
-    auto carry_out(send_claim& wanted, std::uint64_t turn) -> void
+    auto execute(send_claim& step, std::uint64_t step_number) -> void
     {
         this->hooks.claim(
-            wanted.arbiter_rank,
-            std::move(wanted.claim),
-            [self = this->shared_from_this(), turn](auto answer) { self->take(answer, turn); });
+            step.arbiter_rank,
+            std::move(step.claim),
+            [self = this->shared_from_this(), step_number](auto answer) {
+                self->on_answer(answer, step_number);
+            });
     }
 
-    auto carry_out(ask_holder& wanted, std::uint64_t turn) -> void
+    auto execute(query_agent& step, std::uint64_t step_number) -> void
     {
         this->hooks.query_outcome(
-            wanted.server, wanted.query, [self = this->shared_from_this(), turn](auto answer) {
-                self->take(answer, turn);
+            step.server, step.query, [self = this->shared_from_this(), step_number](auto answer) {
+                self->on_answer(answer, step_number);
             });
     }
 
-    auto carry_out(wait_until& wanted, std::uint64_t turn) -> void
+    auto execute(wait_until& step, std::uint64_t step_number) -> void
     {
-        this->hooks.timer(wanted.when, [self = this->shared_from_this(), turn] {
-            self->step(
-                [](claimant& decide, time_point now) { return decide.on_wait_over(now); }, turn);
+        this->hooks.timer(step.when, [self = this->shared_from_this(), step_number] {
+            self->advance(
+                [](claimant& machine, time_point now) { return machine.on_wait_over(now); },
+                step_number);
         });
     }
 
     template <typename End>
-    auto carry_out(End& end, std::uint64_t /*turn*/) -> void
+    auto execute(End& end, std::uint64_t /*turn*/) -> void
     {
         std::exchange(this->done, nullptr)(std::move(end));
     }
 
-    auto take(const common::result<messages::claim_answer>& answer, std::uint64_t turn) -> void
+    auto on_answer(const common::result<messages::claim_answer>& answer, std::uint64_t step_number)
+        -> void
     {
-        this->step(
-            [&answer](claimant& decide, time_point now) { return decide.on_claim(answer, now); },
-            turn);
+        this->advance(
+            [&answer](claimant& machine, time_point now) { return machine.on_claim(answer, now); },
+            step_number);
     }
 
-    auto take(const common::result<messages::outcome_answer>& answer, std::uint64_t turn) -> void
+    auto
+    on_answer(const common::result<messages::outcome_answer>& answer, std::uint64_t step_number)
+        -> void
     {
-        this->step(
-            [&answer](claimant& decide, time_point now) { return decide.on_outcome(answer, now); },
-            turn);
+        this->advance(
+            [&answer](claimant& machine, time_point now) {
+                return machine.on_outcome(answer, now);
+            },
+            step_number);
     }
 
-    /// An answer that has not come by the deadline counts as a process that cannot be reached.
-    auto give_up() -> void
+    /// Treats a missing answer as an unreachable process.
+    auto on_deadline() -> void
     {
-        std::uint64_t turn = 0;
+        std::uint64_t step_number = 0;
         auto from_arbiter = false;
         {
             const std::lock_guard guard(this->lock);
             if (!this->awaits_arbiter && !this->awaits_agent) {
                 return;
             }
-            turn = this->turns;
+            step_number = this->current_step;
             from_arbiter = this->awaits_arbiter;
         }
         const auto lost = common::failure(result_code::peer_unavailable, "no answer in time");
         if (from_arbiter) {
-            this->take(common::result<messages::claim_answer>{lost}, turn);
+            this->on_answer(common::result<messages::claim_answer>{lost}, step_number);
         }
         else {
-            this->take(common::result<messages::outcome_answer>{lost}, turn);
+            this->on_answer(common::result<messages::outcome_answer>{lost}, step_number);
         }
     }
 
     claim_client_hooks hooks;
     std::mutex lock;
-    claimant decisions;
+    claimant state_machine;
     const time_point deadline;
     std::function<auto(claim_result end)->void> done;
-    /// Numbers the steps, so that an answer that was given up is not taken later.
-    std::uint64_t turns = 0;
-    /// What the running turn waits for, if it is an answer.
+    /// Number of the current step; an answer to an earlier step is ignored.
+    std::uint64_t current_step = 0;
+    /// Which answer the current step waits for, if any.
     bool awaits_arbiter = false;
     bool awaits_agent = false;
 };
@@ -137,12 +146,12 @@
 auto claim_key(
     const claimant_config& config,
     const claim_client_hooks& hooks,
-    messages::claim_request wanted,
+    messages::claim_request claim,
     time_point deadline,
     std::function<auto(claim_result end)->void> done) -> void
 {
-    const auto run =
-        std::make_shared<claim_run>(config, hooks, std::move(wanted), deadline, std::move(done));
+    const auto run = std::make_shared<claim_operation>(
+        config, hooks, std::move(claim), deadline, std::move(done));
     run->start();
 }
 
--- a/source/core/claims/claim_client.hpp
+++ b/source/core/claims/claim_client.hpp
@@ -17,15 +17,15 @@
 struct claim_client_hooks {
     common::clock_hook now;
     common::timer_hook timer;
-    /// Asks the entry of this rank for the key (see `claim_arbiter_set::ranked_entries`);
-    /// `peer_unavailable` when there is none of that rank.
+    /// Sends the claim to the entry of this rank (see `claim_arbiter_set::ranked_entries`). Errors
+    /// with `peer_unavailable` if no entry has that rank.
     std::function<auto(
                       std::size_t rank,
                       messages::claim_request claim,
                       messages::answer_hook<messages::claim_answer> done)
                       ->void>
         claim;
-    /// Asks the agent beside a server; `not_found` when no address of the server is known.
+    /// Queries the agent of a server. Errors with `not_found` if its address is not known.
     std::function<auto(
                       const common::server_id& server,
                       messages::outcome_query query,
@@ -34,15 +34,15 @@
         query_outcome;
 };
 
-/// How a claim ended; see the types.
+/// Final step of a claim.
 using claim_result = std::variant<claim_granted, claim_answered, claim_refused>;
 
-/// Carries out a claimant's steps until the claim has ended. `done` is called exactly once.
-/// Each call of a hook that has not answered is given up at the deadline.
+/// Runs a `claimant` until the claim has a final result. `done` is called exactly once, from any
+/// thread. A hook call that has not been answered by the deadline is treated as unreachable.
 auto claim_key(
     const claimant_config& config,
     const claim_client_hooks& hooks,
-    messages::claim_request wanted,
+    messages::claim_request claim,
     common::time_point deadline,
     std::function<auto(claim_result end)->void> done) -> void;
 
--- a/source/core/claims/claim_table.cpp
+++ b/source/core/claims/claim_table.cpp
@@ -19,17 +19,17 @@
 auto claim_table::reset(log_offset first_read) -> void
 {
     *this = claim_table{};
-    this->first = std::max(first_read, log_offset{1});
-    this->newest = log_offset{this->first.value() - 1};
+    this->first_offset = std::max(first_read, log_offset{1});
+    this->last_applied = log_offset{this->first_offset.value() - 1};
 }
 
 auto claim_table::apply(log_offset offset, const claim_batch& batch) -> void
 {
-    this->newest = offset;
-    // A record that named a horizon beyond itself would make all later claims look forgotten.
-    this->prune(std::min(batch.horizon, offset));
+    this->last_applied = offset;
+    // A horizon beyond the record itself would expire claims that are not even written yet.
+    this->discard_expired(std::min(batch.horizon, offset));
     for (const auto& claim : batch.claims) {
-        this->take(offset, claim);
+        this->apply_claim(offset, claim);
     }
 }
 
@@ -49,36 +49,36 @@
     held.claim.attempt = item.attempt;
     held.claim.version = common::version_id{this->names[item.version]};
     held.offset = item.offset;
-    held.last = item.last;
-    held.certain = item.certain;
+    held.last_claimed = item.last_claimed;
+    held.is_certain = item.is_certain;
     return held;
 }
 
-auto claim_table::take(log_offset offset, const claim_request& claim) -> void
+auto claim_table::apply_claim(log_offset offset, const claim_request& claim) -> void
 {
-    this->mentions.push_back({offset, claim.key});
+    this->claims_in_order.push_back({offset, claim.key});
     const auto [found, is_new] = this->keys.try_emplace(claim.key);
     auto& item = found->second;
-    item.last = offset;
+    item.last_claimed = offset;
     if (is_new) {
-        // Nobody else claimed the key since the horizon. If that lies before the first record that
-        // was read, an earlier claim may be among those not read.
-        // Renewals of a session name repeat the holder, so that the first one read tells it.
+        // The key has no other claim since the horizon in what was read. If the horizon lies before
+        // the first record read, an earlier claim may have been missed. A renewal of a session name
+        // repeats its holder, so it identifies the holder by itself.
         const auto is_renewal = claim.replaces.value() != 0 && is_session_name(claim);
-        item.certain = this->oldest_kept >= this->first || is_renewal;
-        this->hold(item, offset, claim);
+        item.is_certain = this->current_horizon >= this->first_offset || is_renewal;
+        this->set_holder(item, offset, claim);
         return;
     }
     if (claim.body != item.body || this->is_holder(item, claim)) {
         return;
     }
-    const auto replaces_unread = claim.replaces.value() != 0 && claim.replaces < this->first;
-    if (claim.replaces == item.offset || (!item.certain && replaces_unread)) {
-        this->hold(item, offset, claim);
+    const auto replaces_unread = claim.replaces.value() != 0 && claim.replaces < this->first_offset;
+    if (claim.replaces == item.offset || (!item.is_certain && replaces_unread)) {
+        this->set_holder(item, offset, claim);
     }
 }
 
-auto claim_table::hold(entry& item, log_offset offset, const claim_request& claim) -> void
+auto claim_table::set_holder(entry& item, log_offset offset, const claim_request& claim) -> void
 {
     item.request = claim.request;
     item.body = claim.body;
@@ -97,18 +97,18 @@
            this->names[item.version] == claim.version.value();
 }
 
-auto claim_table::prune(log_offset horizon) -> void
+auto claim_table::discard_expired(log_offset horizon) -> void
 {
-    if (horizon <= this->oldest_kept) {
+    if (horizon <= this->current_horizon) {
         return;
     }
-    this->oldest_kept = horizon;
-    while (!this->mentions.empty() && this->mentions.front().offset < horizon) {
-        const auto mentioned = this->mentions.front();
-        this->mentions.pop_front();
-        const auto found = this->keys.find(mentioned.key);
-        // A key claimed again later stays; its later claim is a mention of its own.
-        if (found != this->keys.end() && found->second.last == mentioned.offset) {
+    this->current_horizon = horizon;
+    while (!this->claims_in_order.empty() && this->claims_in_order.front().offset < horizon) {
+        const auto oldest = this->claims_in_order.front();
+        this->claims_in_order.pop_front();
+        const auto found = this->keys.find(oldest.key);
+        // A key with a later claim stays: that claim has its own element in `claims_in_order`.
+        if (found != this->keys.end() && found->second.last_claimed == oldest.offset) {
             this->keys.erase(found);
         }
     }
--- a/source/core/claims/claimant.cpp
+++ b/source/core/claims/claimant.cpp
@@ -13,8 +13,9 @@
 using messages::claim_state;
 using messages::outcome_state;
 
-claimant::claimant(claimant_config settings, messages::claim_request wanted, time_point until)
-    : config(settings), claim(std::move(wanted)), deadline(until)
+claimant::claimant(
+    claimant_config settings, messages::claim_request initial_claim, time_point until)
+    : config(settings), claim(std::move(initial_claim)), deadline(until)
 {
 }
 
@@ -49,8 +50,8 @@
     }
     this->holder = answer->holder;
     this->holder_offset = answer->offset;
-    this->give_up_agent.reset();
-    return this->ask();
+    this->agent_deadline.reset();
+    return this->query();
 }
 
 auto claimant::on_outcome(const common::result<messages::outcome_answer>& answer, time_point now)
@@ -63,25 +64,25 @@
         if (!may_answer_later) {
             return this->refuse(result_code::outcome_unknown);
         }
-        if (!this->give_up_agent) {
-            this->give_up_agent = now + this->config.lost_agent_wait;
+        if (!this->agent_deadline) {
+            this->agent_deadline = now + this->config.unreachable_agent_timeout;
         }
-        if (now >= *this->give_up_agent || now >= this->deadline) {
+        if (now >= *this->agent_deadline || now >= this->deadline) {
             return this->refuse(result_code::outcome_unknown);
         }
-        return this->ask_later(now);
+        return this->query_later(now);
     }
-    this->give_up_agent.reset();
+    this->agent_deadline.reset();
     switch (answer->state) {
     case outcome_state::refused:
-        return this->claim_instead();
+        return this->replace_holder();
     case outcome_state::finished:
     case outcome_state::failed:
         return claim_answered{this->holder, this->holder_offset, *answer};
     case outcome_state::queued:
     case outcome_state::running:
         return now >= this->deadline ? this->refuse(result_code::still_running)
-                                     : this->ask_later(now);
+                                     : this->query_later(now);
     case outcome_state::unknown:
         break;
     }
@@ -91,10 +92,10 @@
 auto claimant::on_wait_over(time_point now) -> claim_step
 {
     if (now >= this->deadline) {
-        const auto is_lost = this->give_up_agent.has_value();
+        const auto is_lost = this->agent_deadline.has_value();
         return this->refuse(is_lost ? result_code::outcome_unknown : result_code::still_running);
     }
-    return this->ask();
+    return this->query();
 }
 
 auto claimant::send() const -> claim_step
@@ -102,23 +103,23 @@
     return send_claim{this->arbiter_rank, this->claim};
 }
 
-auto claimant::ask() const -> claim_step
+auto claimant::query() const -> claim_step
 {
     const messages::run_key key{
         this->holder.request, this->holder.attempt, this->holder.incarnation};
-    return ask_holder{this->holder.server, {key, true}};
+    return query_agent{this->holder.server, {key, true}};
 }
 
-auto claimant::ask_later(time_point now) -> claim_step
+auto claimant::query_later(time_point now) -> claim_step
 {
-    return wait_until{std::min(now + this->config.ask_interval, this->deadline)};
+    return wait_until{std::min(now + this->config.query_interval, this->deadline)};
 }
 
-auto claimant::claim_instead() -> claim_step
+auto claimant::replace_holder() -> claim_step
 {
-    // The agent will refuse every copy of that run from now on, so nothing runs under the holder's
-    // claim; the log decides between those who find this out at the same time.
-    if (this->claims_made >= this->config.claim_tries) {
+    // The agent recorded a refusal and refuses every later copy of that run, so nothing can run
+    // under the holder's claim. If several entries replace it at once, the log decides.
+    if (this->claims_made >= this->config.max_claims) {
         return this->refuse(result_code::claims_unavailable);
     }
     ++this->claims_made;
--- a/source/core/claims/codec.cpp
+++ b/source/core/claims/codec.cpp
@@ -13,14 +13,14 @@
 namespace json = boost::json;
 using messages::claim_request;
 
-// A record is {"id", "horizon", "names", "claims"}. Servers and versions stand once in "names",
-// since they are longer than all the rest of a claim. A claim is
+// A record is {"id", "horizon", "names", "claims"}. Names of servers and versions are stored once,
+// in "names", since they are longer than the rest of a claim. A claim is
 // [key, body, request, server, incarnation, attempt, replaces, version], with `server` and
 // `version` as indexes into "names", and `replaces` and `version` left out when both are empty.
 constexpr std::size_t full_fields = 8;
 constexpr std::size_t short_fields = 6;
 
-/// The names of one record, each once; index 0 is the empty name and is not written.
+/// Distinct names of one record. Index 0 is the empty name and is not written.
 class name_list {
 public:
     auto index_of(const std::string& name) -> std::uint64_t
--- a/source/core/claims/codec.hpp
+++ b/source/core/claims/codec.hpp
@@ -10,20 +10,21 @@
 
 namespace reedramp::claims {
 
-/// One record of a partition's stream: the claims that a keeper gathered.
+/// One record of a partition's stream: a batch of claims from one arbiter.
 struct claim_batch {
-    /// Tells a keeper its own records when it reads.
+    /// Random id by which an arbiter recognises its own records when it reads.
     common::request_id id;
-    /// Keys whose claims all lie before this offset are forgotten from this record on, by all
-    /// readers alike. At least 1.
+    /// Keys whose claims all lie before this offset expire with this record, for all readers. At
+    /// least 1.
     common::log_offset horizon{1};
     std::vector<messages::claim_request> claims;
 };
 
-/// The record as JSON text. Organisations are left out: a key's fingerprint contains its own.
+/// Serialises the record as JSON. Organisations are omitted, since a key's fingerprint covers its
+/// organisation.
 auto serialise(const claim_batch& content) -> std::string;
 
-/// Errors: `invalid_record`. Readers skip such a record alike.
+/// Parses a record. Errors: `invalid_record`; all readers skip such a record.
 auto parse(std::string_view record) -> common::result<claim_batch>;
 
 } // namespace reedramp::claims
--- a/source/core/claims/fingerprint.cpp
+++ b/source/core/claims/fingerprint.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The texts with their lengths, so that "ab" + "c" and "a" + "bc" are told apart.
+/// Concatenates the texts with length prefixes, so that {"ab", "c"} and {"a", "bc"} differ.
 auto joined(std::initializer_list<std::string_view> texts) -> std::string
 {
     std::string all;
--- a/source/core/claims/offset_age_tracker.cpp
+++ b/source/core/claims/offset_age_tracker.cpp
@@ -17,19 +17,19 @@
     this->newest = {now, newest_read};
 }
 
-auto offset_age_tracker::on_record(log_offset taken, time_point now) -> void
+auto offset_age_tracker::on_record(log_offset offset, time_point now) -> void
 {
     const auto next = this->samples.empty()
                           ? time_point::min()
                           : this->samples.back().at + this->span / samples_per_span;
     if (now >= next) {
-        this->samples.push_back({now, taken});
+        this->samples.push_back({now, offset});
     }
-    // The one that answers for the whole span has to stay; those before it are of no more use.
+    // Samples before the newest one that is at least `span` old are no longer needed.
     while (this->samples.size() > 1 && this->samples[1].at + this->span <= now) {
         this->samples.pop_front();
     }
-    this->newest = {now, taken};
+    this->newest = {now, offset};
 }
 
 auto offset_age_tracker::first_younger_than(common::duration age, time_point now) const
--- a/source/core/claims/replay_start_search.hpp
+++ b/source/core/claims/replay_start_search.hpp
@@ -8,26 +8,26 @@
 
 namespace reedramp::claims {
 
-/// Finds where a keeper that takes over has to start to read its partition's stream.
+/// Finds the offset from which an arbiter that takes over has to replay its partition's stream.
 ///
-/// The newest record's horizon H is the first offset whose claims may still hold keys. To judge
-/// those claims, the keys that were held when they were made must be known; they lie at or after
-/// the horizon that the record at H carries. So reading starts there: two windows back. Where a
-/// record on the way cannot be read, all that the log still holds is read.
+/// The newest record's horizon H is the first offset whose claims may still hold keys. Judging
+/// these claims requires the keys that were held when they were made, and those lie at or after the
+/// horizon stored in the record at H. Replay therefore starts there, two windows back. If one of
+/// these records cannot be read, everything that the log still holds is replayed.
 class replay_start_search {
 public:
-    /// Pass to the next read of the stream, without waiting.
+    /// Offset after which the next read of the stream starts. Read without waiting for records.
     [[nodiscard]] auto read_after() const -> common::log_offset;
 
-    /// Takes the answer of that read; gives the offset to start at once it is known.
+    /// Handles the answer to that read. Returns the start offset once it is known.
     auto on_answer(const platform::read_answer& answer) -> std::optional<common::log_offset>;
 
 private:
-    enum class step : std::uint8_t { find_head, look_at_head, look_at_horizon };
+    enum class phase : std::uint8_t { find_head, read_head, read_horizon };
 
-    step at = step::find_head;
-    /// The record to look at.
-    common::log_offset wanted;
+    phase current_phase = phase::find_head;
+    /// Offset of the record to read next.
+    common::log_offset target;
     common::log_offset oldest;
 };
 
--- a/source/unit_tests/claims/claim_arbiter_test.cpp
+++ b/source/unit_tests/claims/claim_arbiter_test.cpp
@@ -28,50 +28,49 @@
 struct fault_row {
     std::string what;
     platform::log_faults faults;
-    /// Some claims are decided while the log misbehaves.
+    /// True if some claims are decided during the fault.
     bool some_decided = true;
 };
 
 } // namespace
 
-TEST_CASE("one claim of a key wins whatever the log does", "[claims]")
+TEST_CASE("at most one claim of a key wins under log faults", "[claims]")
 {
-    // Callers send each key to two entries at once, whose keepers both believe in themselves, while
-    // the log misbehaves. Whoever is told "won" runs the request, so for no key are two told so;
-    // the others are refused with not_run or learn who holds the key. When the log is well again,
-    // both keepers name the same holder.
+    // Each key is claimed at two arbiters of the partition at once while the log is faulty. A
+    // request whose claim is `won` runs, so no key may have two winners; other claims are refused
+    // with not_run or get the holder. After the log recovers, both arbiters return the same holder.
     const std::vector<fault_row> rows = {
-        {"nothing is wrong", {}},
-        {"answers come late", {.slow = 300ms}},
-        {"answers come later than claims may wait", {.slow = 6s}, false},
+        {"no fault", {}},
+        {"slow log", {.slow = 300ms}},
+        {"log slower than the claim timeout", {.slow = 6s}, false},
         {"every second append answer is lost", {.lose_answer_every = 2}},
         {"every append answer is lost", {.lose_answer_every = 1}},
         {"every second append is lost", {.lose_append_every = 2}},
-        {"late, and both are lost",
+        {"slow log, some appends and answers are lost",
          {.slow = 100ms, .lose_answer_every = 3, .lose_append_every = 2}},
-        {"the log takes few appends", {.appends_per_second = 10}},
+        {"the log limits the append rate", {.appends_per_second = 10}},
         {"the log is down", {.down = true}, false},
     };
     constexpr std::uint64_t keys = 40;
     for (const auto& row : rows) {
         INFO(row.what);
-        partition_fixture one;
-        const auto first = one.keep();
-        const auto second = one.keep();
-        one.log.set_faults(row.faults);
+        partition_fixture fixture;
+        const auto first = fixture.start_arbiter();
+        const auto second = fixture.start_arbiter();
+        fixture.log.set_faults(row.faults);
         std::map<std::uint64_t, std::vector<answer_slot>> slots;
         for (std::uint64_t key = 1; key <= keys; ++key) {
-            slots[key].push_back(one.ask(first, make_claim(key, 2 * key)));
-            slots[key].push_back(one.ask(second, make_claim(key, 2 * key + 1)));
-            one.time.run_for(20ms);
+            slots[key].push_back(fixture.submit(first, make_claim(key, 2 * key)));
+            slots[key].push_back(fixture.submit(second, make_claim(key, 2 * key + 1)));
+            fixture.time.run_for(20ms);
         }
-        one.time.run_for(10s);
-        one.log.set_faults({});
-        one.time.run_for(20s);
+        fixture.time.run_for(10s);
+        fixture.log.set_faults({});
+        fixture.time.run_for(20s);
         auto decided = 0;
         for (const auto& [key, answers] : slots) {
-            const auto holder = one.decide(first, make_claim(key, 1000 + key));
-            CHECK(one.decide(second, make_claim(key, 2000 + key)).holder == holder.holder);
+            const auto holder = fixture.decide(first, make_claim(key, 1000 + key));
+            CHECK(fixture.decide(second, make_claim(key, 2000 + key)).holder == holder.holder);
             auto winners = 0;
             for (const auto& slot : answers) {
                 REQUIRE(*slot);
@@ -94,221 +93,224 @@
     }
 }
 
-TEST_CASE("a lost append answer is resolved by reading", "[claims]")
+TEST_CASE("a lost append answer is resolved by a read", "[claims]")
 {
-    // The log keeps both batches but its answers are lost. A slow read that was under way before
-    // the second answer was lost does not show that the second batch is missing: both claims are
-    // won, and no batch is appended a second time.
-    partition_fixture one;
-    const auto arbiter = one.keep();
-    one.log.set_faults({.slow = 500ms, .lose_answer_every = 1});
-    const auto first = one.ask(arbiter, make_claim(1, 1));
-    one.time.run_for(600ms);
-    one.log.set_faults({.slow = 10ms, .lose_answer_every = 1});
-    const auto second = one.ask(arbiter, make_claim(2, 2));
-    one.time.run_for(2s);
+    // The log appends both batches, but its answers are lost. A slow read that was in flight before
+    // the second answer was lost must not be taken as proof that the second batch is missing: both
+    // claims are won, and no batch is appended twice.
+    partition_fixture fixture;
+    const auto arbiter = fixture.start_arbiter();
+    fixture.log.set_faults({.slow = 500ms, .lose_answer_every = 1});
+    const auto first = fixture.submit(arbiter, make_claim(1, 1));
+    fixture.time.run_for(600ms);
+    fixture.log.set_faults({.slow = 10ms, .lose_answer_every = 1});
+    const auto second = fixture.submit(arbiter, make_claim(2, 2));
+    fixture.time.run_for(2s);
     REQUIRE((*first && *second));
     CHECK((*first)->state == claim_state::won);
     CHECK((*second)->state == claim_state::won);
-    CHECK(one.log.records(one.config.stream).size() == 2);
+    CHECK(fixture.log.records(fixture.config.stream).size() == 2);
 }
 
-TEST_CASE("a keeper refuses until it has read the window", "[claims]")
+TEST_CASE("an arbiter refuses claims until it has replayed the window", "[claims]")
 {
-    // A key was claimed, then its keeper is lost and another entry takes over. A retry that comes
-    // before the new keeper has read the window is refused (not_run); to grant it would run the
-    // request a second time. After that the retry learns who holds the key.
-    partition_fixture one;
-    auto old = one.keep();
-    CHECK(one.decide(old, make_claim(1, 1)).state == claim_state::won);
+    // A key is claimed, then its arbiter fails and another entry takes over. A retry that arrives
+    // before the new arbiter has replayed the window must be refused (not_run): granting it would
+    // run the request twice. After the replay a retry gets the holder.
+    partition_fixture fixture;
+    auto old = fixture.start_arbiter();
+    CHECK(fixture.decide(old, make_claim(1, 1)).state == claim_state::won);
     old.reset();
-    one.log.set_faults({.slow = 200ms});
-    const auto fresh = claim_arbiter::create(one.config, one.hooks());
-    const auto unstarted = one.ask(fresh, make_claim(1, 2));
+    fixture.log.set_faults({.slow = 200ms});
+    const auto fresh = claim_arbiter::create(fixture.config, fixture.hooks());
+    const auto unstarted = fixture.submit(fresh, make_claim(1, 2));
     fresh->start();
-    const auto early = one.ask(fresh, make_claim(1, 3));
-    one.time.run_for(2s);
+    const auto early = fixture.submit(fresh, make_claim(1, 3));
+    fixture.time.run_for(2s);
     for (const auto& slot : {unstarted, early}) {
         REQUIRE(*slot);
         CHECK(code_of(**slot) == result_code::claims_unavailable);
     }
-    const auto late = one.decide(fresh, make_claim(1, 4));
+    const auto late = fixture.decide(fresh, make_claim(1, 4));
     CHECK(late.state == claim_state::lost);
     CHECK(late.holder.request == common::request_id{1, 1});
 }
 
-TEST_CASE("a keeper that was paused past the log's retention starts anew", "[claims]")
+TEST_CASE("an arbiter paused beyond the log's retention replays the window", "[claims]")
 {
-    // A keeper sleeps while another one serves and the log drops old records. On waking it must not
-    // decide from what it knew: the caller is refused (not_run) until the window is read again.
-    partition_fixture one;
-    const auto sleeper = one.keep();
-    CHECK(one.decide(sleeper, make_claim(1, 1)).state == claim_state::won);
-    const auto other = one.keep();
+    // An arbiter is idle while another one serves and the log trims old records. It must not decide
+    // from its outdated table: the claim is refused (not_run) until the window has been replayed.
+    partition_fixture fixture;
+    const auto sleeper = fixture.start_arbiter();
+    CHECK(fixture.decide(sleeper, make_claim(1, 1)).state == claim_state::won);
+    const auto other = fixture.start_arbiter();
     for (std::uint64_t key = 2; key <= 20; ++key) {
-        CHECK(one.decide(other, make_claim(key, key)).state == claim_state::won);
+        CHECK(fixture.decide(other, make_claim(key, key)).state == claim_state::won);
     }
-    one.log.trim(one.config.stream, log_offset{10});
-    CHECK(code_of(one.decide(sleeper, make_claim(30, 30))) == result_code::claims_unavailable);
-    CHECK(one.decide(sleeper, make_claim(20, 31)).state == claim_state::lost);
+    fixture.log.trim(fixture.config.stream, log_offset{10});
+    CHECK(code_of(fixture.decide(sleeper, make_claim(30, 30))) == result_code::claims_unavailable);
+    CHECK(fixture.decide(sleeper, make_claim(20, 31)).state == claim_state::lost);
     CHECK(sleeper->counters().state == arbiter_state::serving);
 }
 
-TEST_CASE("a key is honoured for the window, then free in all keepers alike", "[claims]")
+TEST_CASE("a key is held for the window, then free at all arbiters", "[claims]")
 {
-    partition_fixture one;
-    auto first = one.keep();
-    const auto second = one.keep();
-    const auto window = one.config.window;
-    CHECK(one.decide(first, make_claim(1, 1)).state == claim_state::won);
-    one.time.run_for(window - 10s);
-    CHECK(one.decide(first, make_claim(1, 2)).state == claim_state::lost);
-    one.time.run_for(10s);
-    CHECK(one.decide(first, make_claim(1, 4)).state == claim_state::won);
-    CHECK(one.decide(second, make_claim(1, 5)).holder.request == common::request_id{4, 4});
-    // One that takes over reads two windows, not all that the log holds.
+    partition_fixture fixture;
+    auto first = fixture.start_arbiter();
+    const auto second = fixture.start_arbiter();
+    const auto window = fixture.config.window;
+    CHECK(fixture.decide(first, make_claim(1, 1)).state == claim_state::won);
+    fixture.time.run_for(window - 10s);
+    CHECK(fixture.decide(first, make_claim(1, 2)).state == claim_state::lost);
+    fixture.time.run_for(10s);
+    CHECK(fixture.decide(first, make_claim(1, 4)).state == claim_state::won);
+    CHECK(fixture.decide(second, make_claim(1, 5)).holder.request == common::request_id{4, 4});
+    // An arbiter that takes over replays two windows, not the whole log.
     for (std::uint64_t key = 100; key < 140; ++key) {
-        one.decide(first, make_claim(key, key));
-        one.time.run_for(window / 8);
+        fixture.decide(first, make_claim(key, key));
+        fixture.time.run_for(window / 8);
     }
     CHECK(first->counters().keys < 15);
-    const auto third = one.keep();
+    const auto third = fixture.start_arbiter();
     CHECK(third->counters().keys == first->counters().keys);
-    CHECK(one.decide(third, make_claim(139, 1)).holder.request == common::request_id{139, 139});
+    CHECK(fixture.decide(third, make_claim(139, 1)).holder.request == common::request_id{139, 139});
 }
 
-TEST_CASE("only the holder's replacement holds next", "[claims]")
+TEST_CASE("only a claim that replaces the holder takes over its key", "[claims]")
 {
-    // The agent of the first claim recorded a refusal, so two retries claim the key anew for other
-    // agents. The log decides between them; one that names another claim than the holder loses.
-    partition_fixture one;
-    const auto first = one.keep();
-    const auto second = one.keep();
-    const auto held = one.decide(first, make_claim(1, 1));
+    // The agent of the first claim recorded a refusal, so two retries claim the key again for other
+    // agents. The log decides between them. A claim that replaces another offset than the holder's
+    // loses.
+    partition_fixture fixture;
+    const auto first = fixture.start_arbiter();
+    const auto second = fixture.start_arbiter();
+    const auto held = fixture.decide(first, make_claim(1, 1));
     auto left = make_claim(1, 2);
     auto right = make_claim(1, 3);
     auto wrong = make_claim(1, 4);
     left.replaces = held.offset;
     right.replaces = held.offset;
     wrong.replaces = log_offset{held.offset.value() + 100};
-    const auto wins = one.ask(first, left);
-    const auto loses = one.ask(second, right);
-    one.time.run_for(1s);
+    const auto wins = fixture.submit(first, left);
+    const auto loses = fixture.submit(second, right);
+    fixture.time.run_for(1s);
     REQUIRE((*wins && *loses));
     CHECK((*wins)->state == claim_state::won);
     CHECK((*loses)->state == claim_state::lost);
     CHECK((*loses)->holder.request == left.request);
     CHECK((*loses)->offset == (*wins)->offset);
-    CHECK(one.decide(first, wrong).state == claim_state::lost);
-    CHECK(one.decide(one.keep(), make_claim(1, 5)).holder.request == left.request);
-    // The same claim asked again, for its answer was lost, still holds.
-    CHECK(one.decide(second, left).state == claim_state::won);
+    CHECK(fixture.decide(first, wrong).state == claim_state::lost);
+    CHECK(fixture.decide(fixture.start_arbiter(), make_claim(1, 5)).holder.request == left.request);
+    // The same claim submitted again, as after a lost answer, is still `won`.
+    CHECK(fixture.decide(second, left).state == claim_state::won);
 }
 
-TEST_CASE("a key used for another request is told apart", "[claims]")
+TEST_CASE("reuse of a key for another request is detected", "[claims]")
 {
-    // A caller's program uses one key twice by mistake. The second request is refused with not_run,
-    // whether the first is decided or still on its way to the log.
-    partition_fixture one;
-    const auto arbiter = one.keep();
-    const auto first = one.ask(arbiter, make_claim(1, 1, 10));
-    const auto at_once = one.ask(arbiter, make_claim(1, 2, 20));
-    one.time.run_for(1s);
+    // A caller uses one key for two requests. The second is refused with not_run, whether the first
+    // claim is decided or still being appended.
+    partition_fixture fixture;
+    const auto arbiter = fixture.start_arbiter();
+    const auto first = fixture.submit(arbiter, make_claim(1, 1, 10));
+    const auto at_once = fixture.submit(arbiter, make_claim(1, 2, 20));
+    fixture.time.run_for(1s);
     REQUIRE((*first && *at_once));
     CHECK((*first)->state == claim_state::won);
     CHECK(code_of(**at_once) == result_code::key_reused);
     CHECK((*at_once)->why->run == execution::not_run);
-    CHECK(code_of(one.decide(arbiter, make_claim(1, 3, 20))) == result_code::key_reused);
-    CHECK(one.decide(arbiter, make_claim(1, 4, 10)).state == claim_state::lost);
+    CHECK(code_of(fixture.decide(arbiter, make_claim(1, 3, 20))) == result_code::key_reused);
+    CHECK(fixture.decide(arbiter, make_claim(1, 4, 10)).state == claim_state::lost);
 }
 
-TEST_CASE("with the log down claims are refused at once and come back", "[claims]")
+TEST_CASE(
+    "claims are refused at once while the log is down and served after it recovers", "[claims]")
 {
-    // The caller gets claims_unavailable with not_run within a tenth of a second, not at its
-    // deadline; keys that are known are still answered. When the log is back, so are claims.
-    partition_fixture one;
-    const auto arbiter = one.keep();
-    CHECK(one.decide(arbiter, make_claim(1, 1)).state == claim_state::won);
-    one.log.set_faults({.down = true});
+    // The caller gets claims_unavailable with not_run within 100 ms, not at its deadline. Keys in
+    // the table are still answered.
+    partition_fixture fixture;
+    const auto arbiter = fixture.start_arbiter();
+    CHECK(fixture.decide(arbiter, make_claim(1, 1)).state == claim_state::won);
+    fixture.log.set_faults({.down = true});
     for (std::uint64_t key = 2; key < 10; ++key) {
-        const auto slot = one.ask(arbiter, make_claim(key, key));
-        one.time.run_for(100ms);
+        const auto slot = fixture.submit(arbiter, make_claim(key, key));
+        fixture.time.run_for(100ms);
         REQUIRE(*slot);
         CHECK(code_of(**slot) == result_code::claims_unavailable);
         CHECK((*slot)->why->run == execution::not_run);
         CHECK((*slot)->why->retry_at.has_value());
     }
-    CHECK(one.decide(arbiter, make_claim(1, 2)).state == claim_state::lost);
-    one.time.run_for(1min);
-    one.log.set_faults({});
-    one.time.run_for(one.config.longest_retry);
-    CHECK(one.decide(arbiter, make_claim(2, 2)).state == claim_state::won);
+    CHECK(fixture.decide(arbiter, make_claim(1, 2)).state == claim_state::lost);
+    fixture.time.run_for(1min);
+    fixture.log.set_faults({});
+    fixture.time.run_for(fixture.config.max_retry_wait);
+    CHECK(fixture.decide(arbiter, make_claim(2, 2)).state == claim_state::won);
 }
 
-TEST_CASE("the table is bounded and none is forgotten early", "[claims]")
+TEST_CASE("the table is bounded and evicts no key early", "[claims]")
 {
-    partition_fixture one;
-    one.config.max_keys = 10;
-    const auto arbiter = one.keep();
+    partition_fixture fixture;
+    fixture.config.max_keys = 10;
+    const auto arbiter = fixture.start_arbiter();
     for (std::uint64_t key = 1; key <= 10; ++key) {
-        CHECK(one.decide(arbiter, make_claim(key, key)).state == claim_state::won);
+        CHECK(fixture.decide(arbiter, make_claim(key, key)).state == claim_state::won);
     }
-    CHECK(code_of(one.decide(arbiter, make_claim(11, 11))) == result_code::claims_unavailable);
-    CHECK(one.decide(arbiter, make_claim(1, 12)).state == claim_state::lost);
-    one.time.run_for(one.config.window);
-    one.decide(arbiter, make_claim(11, 11));
-    CHECK(one.decide(arbiter, make_claim(11, 11)).state == claim_state::won);
+    CHECK(code_of(fixture.decide(arbiter, make_claim(11, 11))) == result_code::claims_unavailable);
+    CHECK(fixture.decide(arbiter, make_claim(1, 12)).state == claim_state::lost);
+    fixture.time.run_for(fixture.config.window);
+    fixture.decide(arbiter, make_claim(11, 11));
+    CHECK(fixture.decide(arbiter, make_claim(11, 11)).state == claim_state::won);
 }
 
-TEST_CASE("the first claim of a session name gives its version", "[claims]")
+TEST_CASE("the first claim of a session name determines its version", "[claims]")
 {
-    // Two entries open a session of one name at once with different versions; both callers get the
-    // version of the first. A name in use keeps it beyond the window, also with a new keeper; one
-    // that was left alone for longer is a new session.
-    partition_fixture one;
-    auto first = one.keep();
-    const auto second = one.keep();
-    const auto left = one.ask(first, make_name_claim(1, 1, "drafts-1"));
-    const auto right = one.ask(second, make_name_claim(1, 2, "drafts-2"));
-    one.time.run_for(1s);
+    // Two entries open a session of one name at once with different versions; both get the version
+    // of the first claim. A name in use keeps its version beyond the window, also with a new
+    // arbiter. A name unused for longer starts a new session.
+    partition_fixture fixture;
+    auto first = fixture.start_arbiter();
+    const auto second = fixture.start_arbiter();
+    const auto left = fixture.submit(first, make_name_claim(1, 1, "drafts-1"));
+    const auto right = fixture.submit(second, make_name_claim(1, 2, "drafts-2"));
+    fixture.time.run_for(1s);
     REQUIRE((*left && *right));
     CHECK((*left)->holder.version.value() == "drafts-1");
     CHECK((*right)->holder.version.value() == "drafts-1");
     for (std::uint64_t use = 0; use < 20; ++use) {
-        one.time.run_for(one.config.window / 3);
+        fixture.time.run_for(fixture.config.window / 3);
         if (use % 5 == 0) {
-            first = one.keep();
+            first = fixture.start_arbiter();
         }
         const auto& asked = use % 2 == 0 ? first : second;
-        const auto answer = one.decide(asked, make_name_claim(1, 10 + use, "drafts-2"));
+        const auto answer = fixture.decide(asked, make_name_claim(1, 10 + use, "drafts-2"));
         CHECK(answer.state != claim_state::refused);
         CHECK(answer.holder.version.value() == "drafts-1");
     }
-    one.time.run_for(2 * one.config.window);
+    fixture.time.run_for(2 * fixture.config.window);
     CHECK(
-        one.decide(second, make_name_claim(1, 50, "drafts-3")).holder.version.value() ==
+        fixture.decide(second, make_name_claim(1, 50, "drafts-3")).holder.version.value() ==
         "drafts-3");
     CHECK(
-        one.decide(first, make_name_claim(1, 51, "drafts-1")).holder.version.value() == "drafts-3");
+        fixture.decide(first, make_name_claim(1, 51, "drafts-1")).holder.version.value() ==
+        "drafts-3");
 }
 
-TEST_CASE("a record that cannot be read is passed over by all", "[claims]")
+TEST_CASE("all arbiters skip a malformed record", "[claims]")
 {
-    // Something else was appended to the stream. The keepers that read it skip it alike and go on.
-    partition_fixture one;
-    const auto first = one.keep();
+    // Other data was appended to the stream. All arbiters skip it and continue.
+    partition_fixture fixture;
+    const auto first = fixture.start_arbiter();
     for (const auto* data : {"", "{}", "[1]", R"({"id":"x","horizon":1,"names":[],"claims":[]})"}) {
-        one.log.put(one.config.stream, data);
+        fixture.log.put(fixture.config.stream, data);
     }
     claim_batch ahead{{7, 7}, log_offset{~0ULL >> 1U}, {make_claim(1, 1)}};
-    one.log.put(one.config.stream, serialise(ahead));
-    for (const auto& arbiter : {first, one.keep()}) {
-        CHECK(one.decide(arbiter, make_claim(1, 2)).holder.request == common::request_id{1, 1});
+    fixture.log.put(fixture.config.stream, serialise(ahead));
+    for (const auto& arbiter : {first, fixture.start_arbiter()}) {
+        CHECK(fixture.decide(arbiter, make_claim(1, 2)).holder.request == common::request_id{1, 1});
         CHECK(arbiter->counters().malformed_records == 4);
     }
 }
 
-TEST_CASE("a batch is read as it was written", "[claims]")
+TEST_CASE("a batch survives serialisation and parsing", "[claims]")
 {
     auto replacing = make_claim(3, 3);
     replacing.replaces = log_offset{17};
@@ -327,18 +329,18 @@
     }
 }
 
-TEST_CASE("each partition has a first and a second keeper among the entries", "[claims]")
+TEST_CASE("each partition has a first and a second arbiter among the entries", "[claims]")
 {
-    partition_fixture one;
+    partition_fixture fixture;
     const std::vector<common::host_id> entries{
         common::host_id{"a"}, common::host_id{"b"}, common::host_id{"c"}};
     std::map<common::host_id, std::unique_ptr<claim_arbiter_set>> sets;
     for (const auto& self : entries) {
         sets[self] =
-            std::make_unique<claim_arbiter_set>(claim_arbiter_set_config{self}, one.hooks());
+            std::make_unique<claim_arbiter_set>(claim_arbiter_set_config{self}, fixture.hooks());
         sets[self]->update_entries(entries);
     }
-    one.time.run_for(1s);
+    fixture.time.run_for(1s);
     std::uint64_t takeovers = 0;
     for (const auto& [self, set] : sets) {
         takeovers += set->counters().takeovers;
@@ -351,11 +353,11 @@
         CHECK(order.size() == 3);
         auto state = claim_state::refused;
         sets[order.front()]->claim(claim, [&](const auto& answer) { state = answer->state; });
-        one.time.run_for(100ms);
+        fixture.time.run_for(100ms);
         CHECK(state == claim_state::won);
-        // The entry that keeps the key is lost; the second one answers, after one read.
+        // The first entry fails; the second one answers after one read.
         sets[order[1]]->claim(make_claim(key, 2), [&](const auto& got) { state = got->state; });
-        one.time.run_for(100ms);
+        fixture.time.run_for(100ms);
         CHECK(state == claim_state::lost);
     }
     sets[entries.front()]->stop();
--- a/source/unit_tests/claims/claim_table_test.cpp
+++ b/source/unit_tests/claims/claim_table_test.cpp
@@ -18,25 +18,25 @@
 
 constexpr std::uint64_t key_count = 12;
 
-/// Records with random claims of few keys. Some claims lose, some replace the holder, and some
-/// horizons fall behind, as those of a keeper that has not read the newest records do.
+/// Stream of records with random claims of a few keys. Some claims lose, some replace the holder,
+/// and some horizons are behind, like those of an arbiter that has not read the newest records.
 class random_stream {
 public:
-    random_stream(unsigned seed, bool given_races) : random(seed), races(given_races) {}
+    random_stream(unsigned seed, bool with_conflicts) : random(seed), with_races(with_conflicts) {}
 
     auto append() -> const claim_batch&
     {
         const auto offset = this->records.size() + 1;
-        const auto span = this->races ? 8 + this->random() % 8 : 10;
+        const auto span = this->with_races ? 8 + this->random() % 8 : 10;
         claim_batch made{{offset, offset}, log_offset{offset > span ? offset - span : 1}, {}};
-        const auto key = this->races ? this->random() % key_count : offset;
+        const auto key = this->with_races ? this->random() % key_count : offset;
         auto claim = make_claim(key, offset, this->random() % 10 == 0 ? 2 : 1);
-        const auto held = this->fold.find(claim.key);
+        const auto held = this->full_table.find(claim.key);
         if (held && this->random() % 2 == 0) {
             claim.replaces = held->offset;
         }
         made.claims.push_back(claim);
-        this->fold.apply(log_offset{offset}, made);
+        this->full_table.apply(log_offset{offset}, made);
         this->last_claims[claim.key] = log_offset{offset};
         this->horizon = std::max(this->horizon, made.horizon);
         this->records.push_back({log_offset{offset}, serialise(made)});
@@ -55,8 +55,8 @@
         return answer;
     }
 
-    /// The table of a keeper that takes over now.
-    auto taken_over() const -> claim_table
+    /// Table of an arbiter that takes over now.
+    auto replayed_table() const -> claim_table
     {
         replay_start_search search;
         std::optional<log_offset> first;
@@ -71,18 +71,18 @@
         return made;
     }
 
-    /// Whether the key was claimed since the horizon, which is all that decides whether it is held.
-    auto is_held(const common::request_id& key) const -> bool
+    /// True if the key was claimed since the horizon; nothing else decides whether it is held.
+    auto should_be_held(const common::request_id& key) const -> bool
     {
         const auto found = this->last_claims.find(key);
         return found != this->last_claims.end() && found->second >= this->horizon;
     }
 
-    claim_table fold;
+    claim_table full_table;
 
 private:
     std::mt19937 random;
-    bool races;
+    bool with_races;
     std::map<common::request_id, log_offset> last_claims;
     log_offset horizon;
     std::vector<messages::log_record> records;
@@ -91,31 +91,32 @@
 
 } // namespace
 
-TEST_CASE("a keeper that reads two windows agrees with one that read all", "[claims]")
+TEST_CASE(
+    "an arbiter that replays two windows agrees with one that read the whole stream", "[claims]")
 {
-    // Two keepers started at different times. If they differed on whether a key is free, each could
-    // grant it to another request, and the caller would see it done twice. They agree on that
-    // always; on who holds it, unless the younger one says itself that it is not certain.
-    for (const bool races : {true, false}) {
+    // If two arbiters started at different times disagreed on whether a key is free, each could
+    // grant it to another request, which would run twice. They must always agree on whether a key
+    // is held, and on its holder unless the later one marks the holder as uncertain.
+    for (const bool with_races : {true, false}) {
         for (unsigned seed = 1; seed <= 20; ++seed) {
-            INFO("races=" << races << " seed=" << seed);
-            random_stream stream(seed, races);
+            INFO("races=" << with_races << " seed=" << seed);
+            random_stream stream(seed, with_races);
             for (int record = 0; record < 120; ++record) {
                 stream.append();
-                const auto taken_over = stream.taken_over();
-                REQUIRE(taken_over.size() == stream.fold.size());
+                const auto replayed_table = stream.replayed_table();
+                REQUIRE(replayed_table.size() == stream.full_table.size());
                 for (std::uint64_t key = 0; key <= 120; ++key) {
-                    const auto whole = stream.fold.find({key, key});
-                    const auto part = taken_over.find({key, key});
-                    REQUIRE(whole.has_value() == stream.is_held({key, key}));
+                    const auto whole = stream.full_table.find({key, key});
+                    const auto part = replayed_table.find({key, key});
+                    REQUIRE(whole.has_value() == stream.should_be_held({key, key}));
                     REQUIRE(whole.has_value() == part.has_value());
                     if (!part) {
                         continue;
                     }
-                    REQUIRE(part->last == whole->last);
-                    // Without lost claims, none is uncertain.
-                    REQUIRE((part->certain || races));
-                    if (part->certain) {
+                    REQUIRE(part->last_claimed == whole->last_claimed);
+                    // Without conflicting claims no holder is uncertain.
+                    REQUIRE((part->is_certain || with_races));
+                    if (part->is_certain) {
                         REQUIRE(part->offset == whole->offset);
                         REQUIRE(same_claim(part->claim, whole->claim));
                     }
@@ -125,27 +126,27 @@
     }
 }
 
-TEST_CASE("a holder that may not have won is never replaced", "[claims]")
+TEST_CASE("an uncertain holder is never replaced", "[claims]")
 {
-    // The first record that a keeper could read is a claim that lost to one that the log has
-    // dropped. Its agent never got it and says so; but the true holder may run, so the key is
-    // refused (not_run) until the claims that are known are all there is.
-    partition_fixture one;
-    const auto old = one.keep();
-    CHECK(one.decide(old, make_claim(1, 1)).state == messages::claim_state::won);
-    const auto other = one.keep();
+    // The first record left in the log is a claim that lost to a trimmed one. Its agent never got
+    // the request and reports so, but the real holder may be running. The key must be refused
+    // (not_run) until no claim from before the first record can matter any more.
+    partition_fixture fixture;
+    const auto old = fixture.start_arbiter();
+    CHECK(fixture.decide(old, make_claim(1, 1)).state == messages::claim_state::won);
+    const auto other = fixture.start_arbiter();
     claim_batch late{{9, 9}, log_offset{1}, {make_claim(1, 2)}};
-    one.log.put(one.config.stream, serialise(late));
-    one.log.trim(one.config.stream, log_offset{2});
-    const auto fresh = one.keep();
+    fixture.log.put(fixture.config.stream, serialise(late));
+    fixture.log.trim(fixture.config.stream, log_offset{2});
+    const auto fresh = fixture.start_arbiter();
     auto retry = make_claim(1, 3);
-    const auto seen = one.decide(fresh, retry);
+    const auto seen = fixture.decide(fresh, retry);
     CHECK(seen.holder.request == common::request_id{2, 2});
     retry.replaces = seen.offset;
-    const auto refused = one.decide(fresh, retry);
+    const auto refused = fixture.decide(fresh, retry);
     CHECK(refused.state == messages::claim_state::refused);
     CHECK(refused.why->code == common::result_code::claims_unavailable);
-    CHECK(one.decide(other, make_claim(1, 4)).holder.request == common::request_id{1, 1});
+    CHECK(fixture.decide(other, make_claim(1, 4)).holder.request == common::request_id{1, 1});
 }
 
 } // namespace reedramp::claims
--- a/source/unit_tests/claims/claimant_test.cpp
+++ b/source/unit_tests/claims/claimant_test.cpp
@@ -25,47 +25,47 @@
 constexpr time_point start{1h};
 constexpr auto deadline = start + 10s;
 
-using script = std::vector<std::function<auto(claimant& decide)->claim_step>>;
+using script = std::vector<std::function<auto(claimant& machine)->claim_step>>;
 
 auto claimed(claim_state state, result_code code = result_code::ok)
     -> std::function<auto(claimant&)->claim_step>
 {
-    return [state, code](claimant& decide) {
+    return [state, code](claimant& machine) {
         claim_answer answer{state, make_claim(1, 7), common::log_offset{3}, std::nullopt};
         if (code != result_code::ok) {
             answer.why = common::make_error(code);
         }
-        return decide.on_claim(answer, start);
+        return machine.on_claim(answer, start);
     };
 }
 
-auto unreachable_arbiter(claimant& decide) -> claim_step
+auto unreachable_arbiter(claimant& machine) -> claim_step
 {
-    return decide.on_claim(failure(result_code::peer_unavailable), start);
+    return machine.on_claim(failure(result_code::peer_unavailable), start);
 }
 
 auto outcome(outcome_state state, time_point now = start)
     -> std::function<auto(claimant&)->claim_step>
 {
-    return [state, now](claimant& decide) {
+    return [state, now](claimant& machine) {
         outcome_answer answer;
         answer.state = state;
-        return decide.on_outcome(answer, now);
+        return machine.on_outcome(answer, now);
     };
 }
 
 auto unreachable_agent(result_code code, time_point now = start)
     -> std::function<auto(claimant&)->claim_step>
 {
-    return [code, now](claimant& decide) {
-        return decide.on_outcome(failure(code), now);
+    return [code, now](claimant& machine) {
+        return machine.on_outcome(failure(code), now);
     };
 }
 
 auto waited(time_point now) -> std::function<auto(claimant&)->claim_step>
 {
-    return [now](claimant& decide) {
-        return decide.on_wait_over(now);
+    return [now](claimant& machine) {
+        return machine.on_wait_over(now);
     };
 }
 
@@ -75,10 +75,10 @@
         auto operator()(const send_claim& step) const -> std::string
         {
             const auto replaces = step.claim.replaces.value();
-            return "claim" + std::to_string(step.arbiter_rank) + (replaces != 0 ? " anew" : "");
+            return "claim" + std::to_string(step.arbiter_rank) + (replaces != 0 ? " again" : "");
         }
 
-        auto operator()(const ask_holder& step) const -> std::string
+        auto operator()(const query_agent& step) const -> std::string
         {
             return "ask " + step.server.value();
         }
@@ -107,46 +107,46 @@
 
 } // namespace
 
-TEST_CASE("what an entry does with a key", "[claims]")
+TEST_CASE("steps of a claimant", "[claims]")
 {
-    // A retry comes to another entry than the first copy did. Its caller sees the first copy's
-    // answer, a run of its own only when the first copy never ran, not_run only when nothing can
-    // run, and unknown when the agent that got the first copy is gone.
+    // A retry arrives at another entry than the first copy. It must get the first copy's answer,
+    // run only if the first copy never ran, end with not_run only if no copy can run, and with
+    // unknown if the agent that received the first copy no longer exists.
     const auto lost = claimed(claim_state::lost);
     const auto unavailable = claimed(claim_state::refused, result_code::claims_unavailable);
     const std::vector<claimant_row> rows = {
-        {"nothing heard", {}, "claim0"},
+        {"no answer yet", {}, "claim0"},
         {"won", {claimed(claim_state::won)}, "granted"},
         {"key reused",
          {claimed(claim_state::refused, result_code::key_reused)},
          "key_reused not_run"},
-        {"keeper lost", {unreachable_arbiter}, "claim1"},
-        {"keeper takes over", {unavailable}, "claim1"},
-        {"both keepers lost",
+        {"arbiter unreachable", {unreachable_arbiter}, "claim1"},
+        {"arbiter is still taking over", {unavailable}, "claim1"},
+        {"both arbiters unreachable",
          {unreachable_arbiter, unreachable_arbiter},
          "claims_unavailable not_run"},
-        {"log down", {unavailable, unavailable}, "claims_unavailable not_run"},
+        {"log unavailable", {unavailable, unavailable}, "claims_unavailable not_run"},
         {"lost", {lost}, "ask engine-1"},
         {"the first copy has finished", {lost, outcome(outcome_state::finished)}, "answered"},
         {"the first copy has failed", {lost, outcome(outcome_state::failed)}, "answered"},
-        {"the first copy runs", {lost, outcome(outcome_state::running)}, "wait"},
-        {"it still runs",
+        {"the first copy is running", {lost, outcome(outcome_state::running)}, "wait"},
+        {"it is queried again while it runs",
          {lost, outcome(outcome_state::running), waited(start + 1s)},
          "ask engine-1"},
-        {"it runs past the deadline",
+        {"it is not finished at the deadline",
          {lost, outcome(outcome_state::queued, deadline)},
          "still_running unknown"},
-        {"the deadline comes while it waits",
+        {"the deadline passes during the wait",
          {lost, outcome(outcome_state::running), waited(deadline)},
          "still_running unknown"},
-        {"the first copy never came", {lost, outcome(outcome_state::refused)}, "claim0 anew"},
-        {"and the key is won then",
+        {"the first copy never arrived", {lost, outcome(outcome_state::refused)}, "claim0 again"},
+        {"and the second claim is won",
          {lost, outcome(outcome_state::refused), claimed(claim_state::won)},
          "granted"},
-        {"and another copy was faster",
+        {"and another copy's claim is won first",
          {lost, outcome(outcome_state::refused), lost},
          "ask engine-1"},
-        {"too many copies that never came",
+        {"too many copies that never arrived",
          {lost,
           outcome(outcome_state::refused),
           lost,
@@ -163,7 +163,7 @@
          {lost, unreachable_agent(result_code::not_found)},
          "outcome_unknown unknown"},
         {"the agent does not answer", {lost, unreachable_agent(result_code::server_lost)}, "wait"},
-        {"the agent does not answer for long",
+        {"the agent does not answer until its timeout",
          {lost,
           unreachable_agent(result_code::server_lost),
           waited(start + 1s),
@@ -178,10 +178,10 @@
     };
     for (const auto& row : rows) {
         INFO(row.what);
-        claimant decide({}, make_claim(1, 1), deadline);
-        auto step = decide.start();
+        claimant machine({}, make_claim(1, 1), deadline);
+        auto step = machine.start();
         for (const auto& event : row.events) {
-            step = event(decide);
+            step = event(machine);
         }
         CHECK(describe(step) == row.last_step);
     }
@@ -189,9 +189,9 @@
 
 namespace {
 
-/// Agents as far as keyed requests see them: a request is recorded before it runs, a question about
-/// one that is not known records a refusal, and a new incarnation knows nothing.
-class few_agents {
+/// Minimal agents: a request is recorded before it runs, a query about an unknown request records a
+/// refusal, and a new incarnation has no records.
+class fake_agents {
 public:
     /// True if the request runs.
     auto dispatch(const messages::claim_request& claim) -> bool
@@ -202,7 +202,7 @@
         return this->known.emplace(claim.request, outcome_state::running).second;
     }
 
-    auto ask(const common::server_id& server, const messages::outcome_query& query)
+    auto query(const common::server_id& server, const messages::outcome_query& query)
         -> common::result<outcome_answer>
     {
         outcome_answer answer;
@@ -236,39 +236,41 @@
     std::map<common::request_id, outcome_state> known;
 };
 
-/// Three entries, each with a keeper of the partition, that handle copies of a few keyed requests.
-struct keyed_world {
-    partition_fixture one;
+/// Three entries, each with an arbiter of the partition, that handle copies of a few requests with
+/// idempotency keys.
+struct keyed_request_fixture {
+    partition_fixture partition;
     std::vector<std::shared_ptr<claim_arbiter>> arbiters;
-    few_agents agents;
+    fake_agents agents;
     std::mt19937 random;
     std::map<common::request_id, int> runs;
-    std::map<std::string, int> ends;
+    std::map<std::string, int> result_counts;
     std::uint64_t requests = 0;
 
-    explicit keyed_world(unsigned seed) : random(seed)
+    explicit keyed_request_fixture(unsigned seed) : random(seed)
     {
         for (int entry = 0; entry < 3; ++entry) {
-            this->arbiters.push_back(this->one.keep());
+            this->arbiters.push_back(this->partition.start_arbiter());
         }
     }
 
     auto hooks(std::size_t entry) -> claim_client_hooks
     {
         return {
-            this->one.time.clock(),
-            this->one.time.timers(),
+            this->partition.time.clock(),
+            this->partition.time.timers(),
             [this, entry](std::size_t rank, messages::claim_request claim, auto done) {
                 const auto& asked = this->arbiters[(entry + rank) % this->arbiters.size()];
                 asked->claim(std::move(claim), [done](claim_answer answer) { done(answer); });
             },
             [this](const common::server_id& server, messages::outcome_query query, auto done) {
-                done(this->agents.ask(server, query));
+                done(this->agents.query(server, query));
             }};
     }
 
-    /// A copy of the request with this key comes to an entry, which may die before it dispatches.
-    auto copy(std::uint64_t key, bool dies) -> void
+    /// Sends a copy of the request with this key to a random entry, which may crash before
+    /// dispatch.
+    auto send_copy(std::uint64_t key, bool entry_crashes) -> void
     {
         auto claim = make_claim(key, 1000 + this->requests++);
         claim.incarnation = this->agents.incarnation(claim.server);
@@ -276,35 +278,35 @@
             {},
             this->hooks(this->random() % 3),
             claim,
-            this->one.time.now() + 5s,
-            [this, claim, dies](claim_result end) {
-                ++this->ends[describe(
+            this->partition.time.now() + 5s,
+            [this, claim, entry_crashes](claim_result end) {
+                ++this->result_counts[describe(
                     std::visit([](auto& item) -> claim_step { return std::move(item); }, end))];
-                if (std::holds_alternative<claim_granted>(end) && !dies) {
+                if (std::holds_alternative<claim_granted>(end) && !entry_crashes) {
                     this->runs[claim.key] += this->agents.dispatch(claim) ? 1 : 0;
                 }
             });
     }
 
-    auto something_fails() -> void
+    auto inject_random_fault() -> void
     {
-        const auto seldom = this->random() % 8;
-        if (seldom == 0) {
+        const auto choice = this->random() % 8;
+        if (choice == 0) {
             this->agents.replace(common::server_id{"engine-" + std::to_string(this->random() % 3)});
         }
-        else if (seldom == 1) {
+        else if (choice == 1) {
             auto& lost = this->arbiters[this->random() % 3];
-            lost = claim_arbiter::create(this->one.config, this->one.hooks());
+            lost = claim_arbiter::create(this->partition.config, this->partition.hooks());
             lost->start();
         }
-        else if (seldom == 2) {
-            this->one.log.set_faults(
+        else if (choice == 2) {
+            this->partition.log.set_faults(
                 {.down = this->random() % 4 == 0,
                  .slow = std::chrono::milliseconds{this->random() % 200},
                  .lose_answer_every = static_cast<std::uint32_t>(this->random() % 4),
                  .lose_append_every = static_cast<std::uint32_t>(this->random() % 4)});
         }
-        else if (seldom == 3) {
+        else if (choice == 3) {
             this->agents.finish_all();
         }
     }
@@ -312,57 +314,58 @@
 
 } // namespace
 
-TEST_CASE("a keyed request runs at most once whatever fails together", "[claims]")
+TEST_CASE("a request with a key runs at most once under combined faults", "[claims]")
 {
-    // Copies of each request come to several entries at about the same time, entries die between
-    // claim and dispatch, keepers are replaced, agents are replaced, and the log is slow, loses
-    // appends and answers or is down. No request runs twice, and each copy gets one end.
-    std::map<std::string, int> ends;
+    // Copies of each request arrive at several entries at about the same time. Entries crash
+    // between claim and dispatch, arbiters and agents are replaced, and the log is slow, loses
+    // appends or answers, or is down. No request may run twice, and each copy gets exactly one
+    // result.
+    std::map<std::string, int> result_counts;
     for (unsigned seed = 1; seed <= 150; ++seed) {
         INFO("seed=" << seed);
-        keyed_world world(seed);
+        keyed_request_fixture fixture(seed);
         constexpr std::uint64_t copies = 40;
-        for (std::uint64_t copy = 0; copy < copies; ++copy) {
-            world.copy(world.random() % 6, world.random() % 4 == 0);
-            world.something_fails();
-            world.one.time.run_for(std::chrono::milliseconds{world.random() % 300});
+        for (std::uint64_t number = 0; number < copies; ++number) {
+            fixture.send_copy(fixture.random() % 6, fixture.random() % 4 == 0);
+            fixture.inject_random_fault();
+            fixture.partition.time.run_for(std::chrono::milliseconds{fixture.random() % 300});
         }
-        world.one.time.run_for(10s);
-        std::uint64_t ended = 0;
-        for (const auto& [end, count] : world.ends) {
-            ends[end] += count;
-            ended += static_cast<std::uint64_t>(count);
+        fixture.partition.time.run_for(10s);
+        std::uint64_t total = 0;
+        for (const auto& [end, count] : fixture.result_counts) {
+            result_counts[end] += count;
+            total += static_cast<std::uint64_t>(count);
         }
-        CHECK(ended == copies);
-        for (const auto& [key, count] : world.runs) {
+        CHECK(total == copies);
+        for (const auto& [key, count] : fixture.runs) {
             CHECK(count <= 1);
         }
     }
-    // The schedules do reach each end.
+    // Each result does occur.
     for (const auto* end :
          {"granted", "answered", "claims_unavailable not_run", "outcome_unknown unknown"}) {
         INFO(end);
-        CHECK(ends[end] > 20);
+        CHECK(result_counts[end] > 20);
     }
 }
 
-TEST_CASE("a claim whose keeper never answers ends at the deadline", "[claims]")
+TEST_CASE("a claim without an answer from its arbiter ends at the deadline", "[claims]")
 {
-    partition_fixture one;
+    partition_fixture fixture;
     claim_client_hooks hooks{
-        one.time.clock(),
-        one.time.timers(),
+        fixture.time.clock(),
+        fixture.time.timers(),
         [](auto, auto, auto) {},
         [](auto&, auto, auto) {
         }};
-    std::string ended;
-    claim_key({}, hooks, make_claim(1, 1), one.time.now() + 5s, [&](claim_result end) {
-        ended += describe(std::get<claim_refused>(std::move(end)));
+    std::string result_text;
+    claim_key({}, hooks, make_claim(1, 1), fixture.time.now() + 5s, [&](claim_result end) {
+        result_text += describe(std::get<claim_refused>(std::move(end)));
     });
-    one.time.run_for(4s);
-    CHECK(ended.empty());
-    one.time.run_for(10s);
-    CHECK(ended == "claims_unavailable not_run");
+    fixture.time.run_for(4s);
+    CHECK(result_text.empty());
+    fixture.time.run_for(10s);
+    CHECK(result_text == "claims_unavailable not_run");
 }
 
 } // namespace reedramp::claims
--- a/source/unit_tests/claims/partition_fixture.hpp
+++ b/source/unit_tests/claims/partition_fixture.hpp
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-/// A claim for key number `key` by request number `request`, on its way to an agent.
+/// Claim of key number `key` by request number `request`, which names an agent.
 inline auto make_claim(std::uint64_t key, std::uint64_t request, std::uint64_t body = 1)
     -> messages::claim_request
 {
@@ -39,10 +39,10 @@
     return made;
 }
 
-/// The answer to one claim, once it is there.
+/// The answer to one claim; empty until it arrives.
 using answer_slot = std::shared_ptr<std::optional<messages::claim_answer>>;
 
-/// Keepers of one partition over one fake log on virtual time.
+/// Arbiters of one partition with a fake log on virtual time.
 struct partition_fixture {
     platform::fake_time time{common::time_point{1h}};
     platform::fake_log log{time.clock(), time.timers()};
@@ -63,8 +63,8 @@
                 }};
     }
 
-    /// A keeper that has had a second to read the window.
-    auto keep() -> std::shared_ptr<claim_arbiter>
+    /// Starts an arbiter and gives it one second to replay the window.
+    auto start_arbiter() -> std::shared_ptr<claim_arbiter>
     {
         auto made = claim_arbiter::create(this->config, this->hooks());
         made->start();
@@ -72,7 +72,7 @@
         return made;
     }
 
-    static auto ask(const std::shared_ptr<claim_arbiter>& from, messages::claim_request claim)
+    static auto submit(const std::shared_ptr<claim_arbiter>& from, messages::claim_request claim)
         -> answer_slot
     {
         auto slot = std::make_shared<std::optional<messages::claim_answer>>();
@@ -81,11 +81,11 @@
         return slot;
     }
 
-    /// Asks and waits until the log has decided.
+    /// Submits the claim and waits three seconds for the answer.
     auto decide(const std::shared_ptr<claim_arbiter>& from, messages::claim_request claim)
         -> messages::claim_answer
     {
-        const auto slot = ask(from, std::move(claim));
+        const auto slot = submit(from, std::move(claim));
         this->time.run_for(3s);
         return slot->value_or(messages::claim_answer{});
     }
--- a/source/unit_tests/claims/threads_test.cpp
+++ b/source/unit_tests/claims/threads_test.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// A log that answers from inside its calls, and timers that a thread runs as soon as it can.
+/// A log that calls back before its calls return, and timers that are due at once and run by
+/// `run_one`.
 class inline_log {
 public:
     auto hooks() -> platform::log_hooks
@@ -52,7 +53,7 @@
         };
     }
 
-    /// Time passes with each look at the clock.
+    /// Each read of the clock advances it by 10 us.
     auto clock() -> common::clock_hook
     {
         return [this] {
@@ -86,9 +87,9 @@
 
 TEST_CASE("claims and bills from several threads are all answered", "[claims]")
 {
-    // Several threads claim the same keys and add bills while others run the timers, and the log
-    // answers from inside its calls. Each claim gets one answer, each key one winner, each bill is
-    // confirmed; under the thread sanitizer, no data race is found.
+    // Several threads claim the same keys, add bills and run timers, and the log calls back before
+    // its calls return. Each claim gets one answer, each key has one winner, and each bill is
+    // confirmed. Under the thread sanitizer this also finds data races.
     constexpr std::uint64_t threads = 4;
     constexpr std::uint64_t keys = 200;
     inline_log log;
