--- a/source/core/entry/admin_api.cpp
+++ b/source/core/entry/admin_api.cpp
@@ -21,7 +21,7 @@
 constexpr std::string_view bearer_prefix = "Bearer ";
 constexpr std::size_t max_json_depth = 32;
 
-/// The way back to one operator.
+/// Sends the response to one operator request.
 struct operator_call {
     common::request_id id;
     common::time_point now;
--- a/source/core/entry/admin_api.hpp
+++ b/source/core/entry/admin_api.hpp
@@ -13,30 +13,32 @@
 
 namespace reedramp::entry {
 
-/// Gives back a JSON text for operators, or an error.
+/// Completes an operator's request with JSON text or an error.
 using text_response_hook = std::function<auto(common::result<std::string> json)->void>;
 
-/// What the administration API asks of the process. A hook that is empty is answered with
-/// `not_found`. Each hook may answer at once or later, from any thread, exactly once.
+/// Hooks through which the administration API reaches the process. Requests whose hook is empty are
+/// refused with `not_found` or `unknown_path`. A completion callback may be called immediately or
+/// later, from any thread, exactly once.
 struct admin_hooks {
-    /// Publishes a configuration record (JSON text) and answers when it was read back:
-    /// {"offset":N}; `conflict` names the winner.
+    /// Publishes a configuration record (JSON text) and completes once it has been read back, with
+    /// its offset as JSON. Errors: `conflict`, which names the record that came first.
     std::function<auto(std::string record, text_response_hook done)->void> publish;
-    /// The whole state in force.
+    /// The complete configuration in force.
     std::function<auto()->common::result<std::string>> state;
-    /// Records with their outcome, newest last.
+    /// Configuration records with their results, newest last.
     std::function<auto()->common::result<std::string>> history;
-    /// Offset, freshness, counters.
+    /// Configuration offset and freshness, and counters.
     std::function<auto()->common::result<std::string>> status;
-    /// Withdraws a version here at once and passes it on; works while the log is down.
+    /// Withdraws a version in this process immediately and propagates the withdrawal; works while
+    /// the log is down.
     std::function<auto(common::version_id version, text_response_hook done)->void> withdraw;
-    /// Sums of the bills by organisation and version.
+    /// Totals of the bills by organisation and by version.
     std::function<auto(text_response_hook done)->void> bills;
     std::function<auto(const common::request_id& request)->std::optional<std::string>> explain;
 };
 
-/// The administration API under /admin/v1/. Its credentials are apart from the callers': a
-/// caller's key opens nothing here, an operator's key runs no request.
+/// The administration API under /admin/v1/. Its credentials are separate from the callers': a
+/// caller's key gives no access here, and an operator's key can't run requests.
 class admin_api {
 public:
     admin_api() = default;
--- a/source/core/entry/attempt.cpp
+++ b/source/core/entry/attempt.cpp
@@ -40,8 +40,8 @@
          std::move(item.response_text)});
 }
 
-/// A whole answer for a caller who asked for a stream: what the caller does not have yet. Errors
-/// when that does not continue what was sent.
+/// Completes a streamed response from a complete one by sending the text that the caller doesn't
+/// have yet. Fails if the complete text doesn't continue what was sent.
 auto send_remaining(exchange& item, messages::finished_event& finished) -> common::result<void>
 {
     if (finished.body.empty()) {
@@ -56,7 +56,8 @@
     const auto whole = agent::parse_engine_answer(finished.body);
     if (!whole || !item.tokens.can_continue() || !whole->text.starts_with(item.tokens.text())) {
         return common::failure(
-            common::result_code::stream_broken, "the kept answer does not fit what was sent");
+            common::result_code::stream_broken,
+            "the complete response does not continue the text that was sent");
     }
     const auto rest = std::string_view(whole->text).substr(item.tokens.text().size());
     if (!rest.empty()) {
@@ -98,16 +99,16 @@
     return attempt_end::lost;
 }
 
-/// Where the chain goes on after an attempt that may be followed by another one.
+/// Restarts the chain for another attempt, or fails the request if the retry budget is spent.
 auto retry(const exchange_ptr& item, const common::error& why) -> void
 {
     auto& context = *item->context;
-    if (!context.budget.take_retry()) {
-        auto spent = common::make_error(common::result_code::retry_budget_spent);
-        spent.detail = "after " + std::string(common::row_of(why.code).name);
-        spent.run = why.run;
-        spent.retry_at = why.retry_at;
-        fail_request(item, std::move(spent));
+    if (!context.retry_budget.take_retry()) {
+        auto budget_error = common::make_error(common::result_code::retry_budget_spent);
+        budget_error.detail = "after " + std::string(common::row_of(why.code).name);
+        budget_error.run = why.run;
+        budget_error.retry_at = why.retry_at;
+        fail_request(item, std::move(budget_error));
         return;
     }
     ++context.counters.retries;
@@ -120,8 +121,9 @@
         {"retry", item->placement.server.value(), std::string(common::row_of(why.code).name), {}});
     item->last_failure = why;
     if (why.code == common::result_code::already_refused) {
-        // Another entry with the same key asked about this attempt before it arrived. The server is
-        // sound, and may be the only one; the next claim tells who holds the key now.
+        // An entry with a copy of this request queried the attempt before it reached the agent,
+        // which therefore refused it. The server is healthy, and may be the only one; the next
+        // claim decides which copy holds the key.
         std::erase(item->tried_servers, item->placement.server);
     }
     if (why.code == common::result_code::version_withdrawn && item->tokens.sent() == 0) {
@@ -133,15 +135,15 @@
     item->chain->restart_at(item, filter_names::placement);
 }
 
-/// What a caller is told of an attempt whose outcome nobody can tell.
+/// The error for an attempt whose outcome can't be determined.
 auto unknown_outcome_error(const exchange& item, const common::error& why) -> common::error
 {
     if (item.repeat == messages::repeat_rule::idempotent) {
         return why;
     }
-    auto told = common::make_error(common::result_code::outcome_unknown);
-    told.detail = "after " + std::string(common::row_of(why.code).name);
-    return told;
+    auto unknown_error = common::make_error(common::result_code::outcome_unknown);
+    unknown_error.detail = "after " + std::string(common::row_of(why.code).name);
+    return unknown_error;
 }
 
 } // namespace
@@ -273,7 +275,9 @@
         return;
     }
     if (item->repeat == messages::repeat_rule::at_most_once) {
-        why = common::make_error(common::result_code::outcome_unknown, "the deadline has passed");
+        why = common::make_error(
+            common::result_code::outcome_unknown,
+            "the deadline passed before the outcome was known");
     }
     why.run = common::execution::unknown;
     send_error(*item, why);
--- a/source/core/entry/attempt_outcome.cpp
+++ b/source/core/entry/attempt_outcome.cpp
@@ -10,7 +10,7 @@
 
 using outcome = common::result<messages::outcome_answer>;
 
-/// Nobody can tell, or not in time.
+/// The outcome can't be determined, or not in time.
 auto fail_as_unknown(const exchange_ptr& item) -> void
 {
     item->attempt.query_until = item->context->hooks.now();
@@ -40,8 +40,9 @@
         });
 }
 
-/// The agent did not answer. A request that may run twice does not wait for it. One that may not
-/// is asked about until the deadline, unless the agent that knew is gone for good.
+/// The agent did not answer the query. A request that may run twice is retried without waiting. For
+/// any other, the query is repeated until the deadline, unless the agent instance that ran it no
+/// longer exists.
 auto on_outcome_unavailable(const exchange_ptr& item, const common::error& why) -> void
 {
     const auto is_gone = why.code == common::result_code::wrong_incarnation ||
@@ -62,13 +63,14 @@
     add_bill_line(*item, answer.used);
     auto why = item->attempt.loss_reason;
     why.run = common::execution::ran;
-    why.detail = "it ran, and its answer is lost";
+    why.detail = "the request ran, but its response is lost";
     fail_attempt(item, attempt_failure::failed, std::move(why));
 }
 
-/// Why the attempt ended, as its agent recorded it. An agent that loses the connection to its entry
-/// takes the caller for gone and cancels. This caller is still there: the reason is the loss, after
-/// which the request may be tried elsewhere; "cancelled" would be its end.
+/// Reason that the agent recorded for the end of the attempt. An agent that loses the connection to
+/// its entry assumes that the caller has disconnected, and cancels. But this caller is still
+/// connected, so the reason is the connection loss, after which the request may be retried;
+/// `cancelled` would end the request.
 auto failure_reason(const exchange& item, const messages::outcome_answer& answer) -> common::error
 {
     const auto is_cancelled = answer.why && answer.why->code == common::result_code::cancelled;
--- a/source/core/entry/caller_headers.cpp
+++ b/source/core/entry/caller_headers.cpp
@@ -41,7 +41,7 @@
             continue;
         }
         if (found) {
-            return bad_header(name, "stands twice");
+            return bad_header(name, "must not be repeated");
         }
         found = item.value;
     }
@@ -72,7 +72,7 @@
     const auto text = **value;
     if (!equal_ignoring_case(text.substr(0, bearer_prefix.size()), bearer_prefix)) {
         return common::failure(
-            common::result_code::unauthenticated, "Authorization: not a bearer token");
+            common::result_code::unauthenticated, "Authorization: a bearer token is required");
     }
     return std::string(text.substr(bearer_prefix.size()));
 }
@@ -90,7 +90,8 @@
     const auto text = **value;
     if (text.empty() || text.size() > max_key_length ||
         !std::all_of(text.begin(), text.end(), is_visible)) {
-        return bad_header(header_names::idempotency_key, "not 1 to 200 visible ASCII characters");
+        return bad_header(
+            header_names::idempotency_key, "must be 1 to 200 visible ASCII characters");
     }
     return std::optional(std::string(text));
 }
@@ -120,7 +121,7 @@
     const auto text = **value;
     if (text.empty() || text.size() > max_task_length ||
         !std::all_of(text.begin(), text.end(), is_task_character)) {
-        return bad_header(header_names::task, "not 1 to 64 letters, digits, '-', '_' or '.'");
+        return bad_header(header_names::task, "must be 1 to 64 letters, digits, '-', '_' or '.'");
     }
     return common::task_name(std::string(text));
 }
@@ -140,7 +141,8 @@
     const auto* end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, milliseconds);
     if (parsed.ec != std::errc() || parsed.ptr != end || milliseconds == 0) {
-        return bad_header(header_names::deadline, "not a positive whole number of milliseconds");
+        return bad_header(
+            header_names::deadline, "must be a positive integer number of milliseconds");
     }
     return std::min<common::duration>(std::chrono::milliseconds(milliseconds), rules.max_timeout);
 }
--- a/source/core/entry/callers_api.hpp
+++ b/source/core/entry/callers_api.hpp
@@ -13,11 +13,12 @@
 #include "http/message.hpp"
 #include "messages/run.hpp"
 
-/// The entry: callers' API, the chain of filters that each request passes, and the recovery of a
-/// request whose backend server is lost. Pure: HTTP, RPC, time and chance come through hooks.
+/// The entry: the callers' API, the filter chain that each request passes through, and the recovery
+/// of requests whose backend server is lost. It performs no I/O itself: HTTP, RPC, time and
+/// randomness are supplied through hooks.
 namespace reedramp::entry {
 
-/// Header names of the callers' API.
+/// HTTP header names of the callers' API.
 namespace header_names {
 inline constexpr std::string_view authorization = "Authorization";
 inline constexpr std::string_view idempotency_key = "Idempotency-Key";
@@ -28,10 +29,10 @@
 inline constexpr std::string_view version = "Reedramp-Version";
 } // namespace header_names
 
-/// The model name by which a caller leaves the choice of the model to the rules.
+/// Model name with which a caller leaves the choice of the model to the routing rules.
 inline constexpr std::string_view any_model = "auto";
 
-/// What one request asks for.
+/// Kind of resource that a request addresses.
 enum class route_kind : std::uint8_t {
     chat,
     service,
@@ -45,15 +46,16 @@
 
 struct route {
     route_kind kind = route_kind::chat;
-    /// Set for `service`: its name, and the path with query behind it ("/" if there is none).
+    /// Set for `service`: the service name, and the remaining path including the query, "/" if
+    /// empty.
     common::service_name service;
     std::string path;
 };
 
-/// Errors: `unknown_path`, `method_not_allowed`.
+/// Matches a request line to a route. Errors: `unknown_path`, `method_not_allowed`.
 auto parse_route(std::string_view method, std::string_view target) -> common::result<route>;
 
-/// The Reedramp headers of a request, checked.
+/// Validated headers of a request.
 struct caller_headers {
     /// Bearer token; empty if there is none.
     std::string bearer;
@@ -68,47 +70,49 @@
     common::duration max_timeout = std::chrono::minutes(10);
 };
 
-/// Errors: `bad_header`. A header that stands twice is an error, since two programs might each
-/// believe another one of the two.
+/// Parses and validates the headers. Errors: `bad_header`, also for a repeated header, because two
+/// programs could each honour a different occurrence; `unauthenticated` for credentials that are
+/// not a bearer token.
 auto parse_headers(const std::vector<http::header>& headers, const header_rules& rules)
     -> common::result<caller_headers>;
 
-/// A chat request as far as routing needs it. The body goes to the engine as it came.
+/// The fields of a chat request that routing needs. The body is forwarded to the engine unchanged.
 struct chat_request {
     std::string model;
     bool stream = false;
     /// stream_options.include_usage
     bool include_usage = false;
     common::token_count max_tokens;
-    /// A guess from the length of the messages, for limits and queues.
+    /// Estimate from the length of the messages, used for limits and queues.
     common::token_count prompt_tokens;
-    /// Hash of the start of the conversation, for servers that cache prefixes.
+    /// Hash of the beginning of the conversation, for servers with a prefix cache.
     std::uint64_t prefix_hash = 0;
     std::int32_t priority = 0;
-    /// Text of the last message, which the rating service gets as the question.
+    /// Text of the last message; the rating service receives it as the question.
     std::string question;
 };
 
-/// Errors: `malformed_json` for what is not JSON, not UTF-8, deeper than 32 levels or of another
-/// shape than a chat request.
+/// Parses the body of a chat request. Errors: `malformed_json` if it is not JSON, not UTF-8, nested
+/// deeper than 32 levels, or not of the form of a chat request.
 auto parse_chat(std::string_view body) -> common::result<chat_request>;
 
 /// Body of POST /v1/sessions.
 struct session_request {
     std::string model;
-    /// A name that the caller chose, if any.
+    /// Session name chosen by the caller, if any.
     std::optional<std::string> name;
 };
 
 auto parse_session_request(std::string_view body) -> common::result<session_request>;
 
-/// A problem+json answer (RFC 9457) with our code, name, execution and the request id.
-/// `Retry-After` is whole seconds, at least 1, when the error knows a time.
+/// Builds a problem+json response (RFC 9457) with the result code, its name, the execution state
+/// and the request id. `Retry-After` is set if the error has a retry time, in whole seconds and at
+/// least 1.
 auto problem_response(
     const common::error& why, const common::request_id& request, common::time_point now)
     -> http::response;
 
-/// The same object as text, for the error event of a stream.
+/// The same problem object as text, for the error event of a stream.
 auto problem_text(const common::error& why, const common::request_id& request) -> std::string;
 
 struct listed_model {
@@ -128,7 +132,7 @@
 auto json_response(std::uint16_t status, std::string body) -> http::response;
 auto text_response(std::uint16_t status, std::string body) -> http::response;
 
-/// Writes the events of one streamed chat answer.
+/// Formats the server-sent events of one streamed chat response.
 class sse_writer {
 public:
     sse_writer() = default;
@@ -137,20 +141,20 @@
         const common::version_id& version,
         common::wall_time_ms created);
 
-    /// One event with a piece of text.
+    /// An event with a chunk of text.
     [[nodiscard]] auto chunk(std::string_view text) const -> std::string;
 
-    /// The last events: finish reason, usage if wanted, "[DONE]".
+    /// The final events: the finish reason, usage if given, and "[DONE]".
     [[nodiscard]] auto
     final_events(std::string_view finish_reason, const std::optional<messages::usage>& used) const
         -> std::string;
 
-    /// An explicit error event. No "[DONE]" follows, so that the answer never seems whole.
+    /// An error event. No "[DONE]" follows it, so that a truncated response never looks complete.
     [[nodiscard]] static auto
     error_event(const common::error& why, const common::request_id& request) -> std::string;
 
 private:
-    /// Start of each event up to the choices.
+    /// Common start of all events, up to the contents of "choices".
     std::string prefix;
 };
 
--- a/source/core/entry/chat_request.cpp
+++ b/source/core/entry/chat_request.cpp
@@ -15,9 +15,9 @@
 constexpr std::size_t max_name_bytes = 128;
 constexpr std::uint64_t default_max_tokens = 512;
 constexpr std::uint64_t max_tokens_limit = 131'072;
-/// Of English text and usual tokenizers; only limits and queues use the guess.
+/// Typical for English text; the estimate is used only for limits and queues.
 constexpr std::size_t bytes_per_token = 4;
-/// Servers cache prefixes in blocks; the first part of a conversation is what requests share.
+/// Servers cache prefixes in blocks, and requests share the beginning of a conversation.
 constexpr std::size_t prefix_hash_bytes = 2048;
 constexpr std::size_t max_question_bytes = 4096;
 constexpr std::int64_t max_priority = 100;
@@ -27,7 +27,7 @@
     return common::failure(common::result_code::malformed_json, std::string(why));
 }
 
-/// Parses with a depth limit; Boost.JSON checks UTF-8 itself.
+/// Parses with a depth limit; Boost.JSON validates UTF-8.
 auto parse_object(std::string_view body) -> common::result<json::object>
 {
     json::parse_options options;
@@ -35,7 +35,7 @@
     json::error_code failed;
     auto value = json::parse(json::string_view(body.data(), body.size()), failed, {}, options);
     if (failed) {
-        return bad("not JSON: " + failed.message());
+        return bad("invalid JSON: " + failed.message());
     }
     if (!value.is_object()) {
         return bad("not a JSON object");
@@ -51,7 +51,7 @@
     }
     const auto& text = value->as_string();
     if (text.empty() || text.size() > max_name_bytes) {
-        return bad(std::string(key) + ": 1 to 128 bytes are allowed");
+        return bad(std::string(key) + ": must be 1 to 128 bytes long");
     }
     return std::string(text.data(), text.size());
 }
@@ -81,13 +81,14 @@
     }
     if (!value->is_int64() || value->as_int64() < least || value->as_int64() > most) {
         return bad(
-            std::string(key) + ": a whole number from " + std::to_string(least) + " to " +
+            std::string(key) + ": an integer from " + std::to_string(least) + " to " +
             std::to_string(most) + " is required");
     }
     return value->as_int64();
 }
 
-/// Text of a message's content: a string, or a list of parts of which those of type text count.
+/// Appends the text of a message's content, which is a string or a list of parts; only the "text"
+/// fields of parts count. Returns false if the content is malformed.
 auto add_content(const json::value& content, std::string& text) -> bool
 {
     if (content.is_string()) {
@@ -122,13 +123,13 @@
     std::size_t last_start = 0;
     for (const auto& message : value->as_array()) {
         if (!message.is_object()) {
-            return bad("messages: each must be an object");
+            return bad("messages: each message must be an object");
         }
         const auto& fields = message.as_object();
         const auto* role = fields.if_contains("role");
         const auto* content = fields.if_contains("content");
         if (role == nullptr || !role->is_string()) {
-            return bad("messages: a role is required");
+            return bad("messages: each message must have a role");
         }
         last_start = text.size();
         if (content != nullptr && !add_content(*content, text)) {
@@ -164,7 +165,7 @@
     return {};
 }
 
-/// `max_completion_tokens` is the newer name of `max_tokens`; the smaller one holds.
+/// `max_completion_tokens` is the newer name of `max_tokens`; the smaller value applies.
 auto read_max_tokens(const json::object& from) -> common::result<common::token_count>
 {
     std::int64_t smallest = 0;
--- a/source/core/entry/context.cpp
+++ b/source/core/entry/context.cpp
@@ -47,19 +47,19 @@
 
 auto request_registry::add(const exchange_ptr& item) -> void
 {
-    auto& part = this->shard_of(item->id);
-    const std::lock_guard guard(part.lock);
-    part.items.emplace(item->id, item);
-    part.due.emplace(item->deadline, item->id);
+    auto& target = this->shard_of(item->id);
+    const std::lock_guard guard(target.lock);
+    target.items.emplace(item->id, item);
+    target.due.emplace(item->deadline, item->id);
     ++this->count;
 }
 
 auto request_registry::remove(const exchange& item) -> void
 {
-    auto& part = this->shard_of(item.id);
-    const std::lock_guard guard(part.lock);
-    part.due.erase(due_key(item.deadline, item.id));
-    if (part.items.erase(item.id) > 0) {
+    auto& target = this->shard_of(item.id);
+    const std::lock_guard guard(target.lock);
+    target.due.erase(due_key(item.deadline, item.id));
+    if (target.items.erase(item.id) > 0) {
         --this->count;
     }
 }
@@ -67,14 +67,14 @@
 auto request_registry::take_overdue(common::time_point now) -> std::vector<exchange_ptr>
 {
     std::vector<exchange_ptr> overdue;
-    for (auto& part : this->shards) {
-        const std::lock_guard guard(part.lock);
-        while (!part.due.empty() && part.due.begin()->first <= now) {
-            const auto found = part.items.find(part.due.begin()->second);
-            if (found != part.items.end()) {
+    for (auto& target : this->shards) {
+        const std::lock_guard guard(target.lock);
+        while (!target.due.empty() && target.due.begin()->first <= now) {
+            const auto found = target.items.find(target.due.begin()->second);
+            if (found != target.items.end()) {
                 overdue.push_back(found->second);
             }
-            part.due.erase(part.due.begin());
+            target.due.erase(target.due.begin());
         }
     }
     return overdue;
@@ -83,9 +83,9 @@
 auto request_registry::all() -> std::vector<exchange_ptr>
 {
     std::vector<exchange_ptr> found;
-    for (auto& part : this->shards) {
-        const std::lock_guard guard(part.lock);
-        for (const auto& [id, item] : part.items) {
+    for (auto& target : this->shards) {
+        const std::lock_guard guard(target.lock);
+        for (const auto& [id, item] : target.items) {
             found.push_back(item);
         }
     }
@@ -94,27 +94,28 @@
 
 auto request_registry::clear() -> void
 {
-    for (auto& part : this->shards) {
-        // Exchanges go outside the lock, as their last steps may call hooks.
+    for (auto& target : this->shards) {
+        // Exchanges are destroyed after the lock is released, as their last steps may call hooks.
         std::unordered_map<common::request_id, exchange_ptr> items;
-        const std::lock_guard guard(part.lock);
-        items.swap(part.items);
-        part.due.clear();
+        const std::lock_guard guard(target.lock);
+        items.swap(target.items);
+        target.due.clear();
     }
 }
 
 core_context::core_context(core_options wanted, core_hooks given, admin_api operators)
     : options(wanted), hooks(std::move(given)), admin(std::move(operators)),
-      decisions(wanted.decision_limit), budget(wanted.retries), work_chain(
-                                                                    {make_authenticate(),
-                                                                     make_organisation_rules(),
-                                                                     make_billing(),
-                                                                     make_session(),
-                                                                     make_version_choice(),
-                                                                     make_limits(),
-                                                                     make_placement(),
-                                                                     make_claim(),
-                                                                     make_dispatch()}),
+      decisions(wanted.decision_limit), retry_budget(wanted.retries),
+      work_chain(
+          {make_authenticate(),
+           make_organisation_rules(),
+           make_billing(),
+           make_session(),
+           make_version_choice(),
+           make_limits(),
+           make_placement(),
+           make_claim(),
+           make_dispatch()}),
       models_chain({make_authenticate(), make_list_models()}), session_chain(
                                                                    {make_authenticate(),
                                                                     make_organisation_rules(),
--- a/source/core/entry/context.hpp
+++ b/source/core/entry/context.hpp
@@ -20,7 +20,7 @@
 
 namespace reedramp::entry {
 
-/// Counts for metrics and status.
+/// Thread-safe counters for metrics and status.
 class atomic_counters {
 public:
     std::atomic<std::uint64_t> answered{0};
@@ -40,18 +40,18 @@
     common::sharded_map<common::version_id, std::uint64_t> versions;
 };
 
-/// The requests that are under way, with their deadlines.
+/// Registry of the requests in flight and their deadlines. Thread-safe.
 ///
-/// A timer for each request would stay behind for the rest of its deadline after the request has
-/// been answered; at 30 s and thousands of requests a second that is more memory than the requests
-/// themselves. So one periodic look takes the requests whose deadline has passed.
+/// A timer per request would stay allocated until the deadline, long after the request was
+/// answered; at 30 s and thousands of requests a second, the timers would need more memory than the
+/// requests themselves. Instead, `take_overdue` is called periodically.
 class request_registry {
 public:
     auto add(const exchange_ptr& item) -> void;
     auto remove(const exchange& item) -> void;
     auto take_overdue(common::time_point now) -> std::vector<exchange_ptr>;
     auto all() -> std::vector<exchange_ptr>;
-    /// Lets go of all, when the core ends before its requests.
+    /// Releases all requests, for a core that is destroyed before its requests have ended.
     auto clear() -> void;
 
     [[nodiscard]] auto size() const -> std::size_t { return this->count.load(); }
@@ -73,7 +73,7 @@
     std::atomic<std::size_t> count{0};
 };
 
-/// What all requests of one core share.
+/// State shared by all requests of one core.
 class core_context {
 public:
     core_context(core_options wanted, core_hooks given, admin_api operators);
@@ -82,17 +82,18 @@
     core_hooks hooks;
     admin_api admin;
     decision_ring decisions;
-    placement::retry_budget budget;
+    placement::retry_budget retry_budget;
     atomic_counters counters;
     request_registry requests;
     const filter_chain work_chain;
     const filter_chain models_chain;
     const filter_chain session_chain;
-    /// Not ready any more; what comes on open connections is still served.
+    /// Set when a graceful shutdown begins: no longer ready, but requests on open connections are
+    /// still served.
     std::atomic<bool> is_draining{false};
-    /// The shutdown's deadline has passed.
+    /// Set when the shutdown's deadline has passed: new requests are refused.
     std::atomic<bool> is_closed{false};
-    /// Called when a request has ended while the process is leaving.
+    /// Called when a request has ended during a graceful shutdown.
     std::function<auto()->void> on_request_ended;
 };
 
--- a/source/core/entry/core.cpp
+++ b/source/core/entry/core.cpp
@@ -36,7 +36,7 @@
                 return found ? std::optional(to_json(*found)) : std::nullopt;
             };
         }
-        this->arm_tick();
+        this->schedule_deadline_check();
     }
 
     auto handle(http::request request, std::shared_ptr<http::responder> responder) -> void override;
@@ -59,10 +59,11 @@
     }
 
 private:
-    auto arm_tick() -> void;
+    auto schedule_deadline_check() -> void;
     auto respond_health(route_kind kind, const std::shared_ptr<http::responder>& responder) const
         -> void;
-    auto begin(http::request request, std::shared_ptr<http::responder> responder, route matched)
+    auto
+    start_exchange(http::request request, std::shared_ptr<http::responder> responder, route matched)
         -> void;
     auto read_request(exchange& item) const -> common::result<void>;
     auto start_chain(const exchange_ptr& item) -> void;
@@ -71,15 +72,15 @@
     std::shared_ptr<core_context> context;
 
     std::mutex lock;
-    /// Set while a shutdown is under way.
+    /// Completion callback of a shutdown in progress.
     std::function<auto(std::size_t cut)->void> on_drained;
 };
 
-auto core_impl::arm_tick() -> void
+auto core_impl::schedule_deadline_check() -> void
 {
     const auto& hooks = this->context->hooks;
     hooks.timer(
-        hooks.now() + this->context->options.tick,
+        hooks.now() + this->context->options.deadline_check_interval,
         [weak = std::weak_ptr<core_impl>(this->shared_from_this())] {
             const auto self = weak.lock();
             if (!self) {
@@ -89,7 +90,7 @@
             for (const auto& item : self->context->requests.take_overdue(now)) {
                 post(item, on_deadline_passed);
             }
-            self->arm_tick();
+            self->schedule_deadline_check();
         });
 }
 
@@ -130,12 +131,12 @@
             request, {hooks.random(), hooks.random()}, hooks.now(), responder);
         return;
     default:
-        this->begin(std::move(request), std::move(responder), std::move(*matched));
+        this->start_exchange(std::move(request), std::move(responder), std::move(*matched));
         return;
     }
 }
 
-/// Checks headers and body. The filters see only requests that passed this.
+/// Parses headers and body before the filters run.
 auto core_impl::read_request(exchange& item) const -> common::result<void>
 {
     auto headers = parse_headers(item.request.headers, this->context->options.headers);
@@ -169,11 +170,11 @@
     }
 }
 
-auto core_impl::begin(
+auto core_impl::start_exchange(
     http::request request, std::shared_ptr<http::responder> responder, route matched) -> void
 {
     const auto& hooks = this->context->hooks;
-    // Not make_shared: timers hold weak references, which would keep its memory.
+    // Not make_shared: weak references held by timers would keep the memory allocated.
     const exchange_ptr item(
         new exchange(this->context, this->context->options.sent_text_limit_bytes));
     item->id = {hooks.random(), hooks.random()};
--- a/source/core/entry/core.hpp
+++ b/source/core/entry/core.hpp
@@ -23,38 +23,40 @@
 
 struct core_options {
     header_rules headers;
-    /// Attempts of one request, the first included.
+    /// Maximum attempts per request, including the first.
     std::uint32_t attempt_limit = 4;
     placement::retry_budget_settings retries;
-    /// How long an idempotent request waits for word of a lost attempt before it runs elsewhere,
-    /// and how long the usage of a cancelled one is asked for.
+    /// How long the outcome of a lost attempt of an idempotent request is queried before the
+    /// request is retried elsewhere, and how long the usage of a cancelled request is queried.
     common::duration outcome_query_timeout = std::chrono::milliseconds(300);
-    /// Between two questions about a lost attempt.
+    /// Pause between two outcome queries.
     common::duration outcome_query_interval = std::chrono::milliseconds(100);
-    /// How long a session waits for a server of its version, within its deadline.
+    /// How long a session's request waits for a server of its version, within its deadline.
     common::duration session_wait = std::chrono::seconds(5);
-    /// When a caller is told to come back if nothing better is known.
+    /// Retry delay that a caller is given if nothing more precise is known.
     common::duration retry_after = std::chrono::seconds(1);
-    /// How often deadlines are looked at.
-    common::duration tick = std::chrono::milliseconds(20);
-    /// How long a session's pin is valid.
+    /// Interval at which deadlines are checked.
+    common::duration deadline_check_interval = std::chrono::milliseconds(20);
+    /// Lifetime of a session token.
     common::duration session_lifetime = std::chrono::hours(24);
-    /// Backlog of a caller's connection above which the source is paused, and below which it is
-    /// resumed.
+    /// Unsent bytes on a caller's connection above which the source is paused, and below which it
+    /// is resumed.
     std::size_t backlog_high_bytes = std::size_t{256} * 1024;
     std::size_t backlog_low_bytes = std::size_t{64} * 1024;
-    /// Pieces under way still come after a pause; a backlog above this ends the answer.
+    /// Unsent bytes above which the response is aborted; chunks already in flight still arrive
+    /// after a pause.
     std::size_t backlog_limit_bytes = std::size_t{8} * 1024 * 1024;
-    /// Text of a stream kept to go on elsewhere; a longer answer can not be continued.
+    /// Maximum text of a stream that is kept for another server to continue it; a longer stream
+    /// can't be continued.
     std::size_t sent_text_limit_bytes = std::size_t{1} * 1024 * 1024;
-    /// Requests under way at once.
+    /// Maximum requests in flight.
     std::size_t request_limit = 20'000;
     std::size_t decision_limit = 4096;
-    /// Every n-th answered chat is handed to the rating service; 0 for none.
+    /// One in this many chats, selected at random, is submitted for rating; 0 for none.
     std::uint32_t rate_every = 1;
 };
 
-/// Counters for metrics and status; each only grows, but for `in_flight`.
+/// Snapshot of the counters for metrics and status. All but `in_flight` only increase.
 struct core_counters {
     std::uint64_t in_flight = 0;
     std::uint64_t answered = 0;
@@ -66,7 +68,7 @@
     std::map<common::version_id, std::uint64_t> versions;
 };
 
-/// All decisions of an entry on callers' requests. Members may be called from any thread.
+/// Serves the callers' and administration APIs of an entry. Members may be called from any thread.
 class core {
 public:
     static auto create(core_options options, core_hooks hooks, admin_api admin)
@@ -74,19 +76,21 @@
 
     virtual ~core() = default;
 
-    /// One request of the callers' or the administration API.
+    /// Handles one request of the callers' or the administration API.
     virtual auto handle(http::request request, std::shared_ptr<http::responder> responder)
         -> void = 0;
 
-    /// Starts the graceful shutdown: readiness turns false, requests under way go on, and those
-    /// that still come on open connections are served too, as refusing them would be an error that
-    /// the caller has not caused. `done` runs once, when none is left or at `deadline`, with the
-    /// number of requests that were cut by it; from the deadline on new ones are refused.
+    /// Starts a graceful shutdown: `ready` turns false, and requests in flight continue. Requests
+    /// that still arrive on open connections are served as well, because refusing them would be an
+    /// error the caller has not caused. Requests still in flight at `deadline` are aborted, and
+    /// later ones are refused. `done` is called once, when no request is left, with the number of
+    /// aborted requests.
     virtual auto
     shut_down(common::time_point deadline, std::function<auto(std::size_t cut)->void> done)
         -> void = 0;
 
-    /// Ready for callers: has a configuration, may take bills, is not shutting down.
+    /// Whether the entry is ready for callers: it has a configuration and knows its servers,
+    /// accepts bills, and is not shutting down.
     [[nodiscard]] virtual auto ready() const -> bool = 0;
 
     [[nodiscard]] virtual auto counters() const -> core_counters = 0;
--- a/source/core/entry/core_hooks.hpp
+++ b/source/core/entry/core_hooks.hpp
@@ -20,22 +20,22 @@
 
 namespace reedramp::entry {
 
-/// Asks which version a chat request is to use.
+/// Input for the choice of the version that is to serve a chat request or session.
 struct version_query {
     common::request_id request;
     common::organisation_id organisation;
     common::task_name task;
-    /// Model or version by name, or `any_model`.
+    /// Name of a model or version, or `any_model`.
     std::string model;
     common::token_count prompt_tokens;
     common::token_count max_tokens;
-    /// The version is for a whole session, not for one request.
+    /// Whether the version is chosen for a whole session instead of one request.
     bool for_session = false;
     common::time_point now;
     common::time_point deadline;
     /// Until when the configuration is known to be current.
     common::time_point current_until;
-    /// Versions that a backend server has refused for this request.
+    /// Versions that a backend server refused to run for this request; never chosen.
     std::vector<common::version_id> refused;
 };
 
@@ -46,7 +46,7 @@
     common::version_id runner_up;
 };
 
-/// Asks which backend server is to run a request.
+/// Input for the choice of the backend server that is to run a request.
 struct placement_query {
     common::request_id request;
     messages::work_kind kind = messages::work_kind::chat;
@@ -55,7 +55,7 @@
     std::optional<common::session_id> session;
     std::uint64_t prefix_hash = 0;
     common::time_point deadline;
-    /// Servers that this request was tried on; never chosen.
+    /// Servers on which this request has already been attempted; never chosen.
     std::vector<common::server_id> tried_servers;
 };
 
@@ -67,7 +67,7 @@
     common::server_id runner_up;
 };
 
-/// How an attempt ended, for those who keep count of servers and versions.
+/// How an attempt ended, as reported to the trackers of servers and versions.
 enum class attempt_end : std::uint8_t { answered, refused, never_sent, failed, lost, cancelled };
 
 struct attempt_report {
@@ -79,13 +79,13 @@
     common::server_id server;
     common::incarnation_id incarnation;
     attempt_end end = attempt_end::answered;
-    /// Set unless it was answered.
+    /// `ok` if the attempt was answered.
     common::result_code code = common::result_code::ok;
     common::duration elapsed{};
     messages::usage used;
 };
 
-/// An answered chat for the rating service.
+/// A chat request and its response, to be submitted to the rating service.
 struct rated_chat {
     common::request_id request;
     common::organisation_id organisation;
@@ -95,8 +95,9 @@
     std::string answer;
 };
 
-/// The hooks that the core's filters ask. Each may be called from any thread, outside locks; an
-/// answer through a callback may come at once or later, from any thread, exactly once.
+/// Hooks through which the filters of the core reach the rest of the process. Each may be called
+/// from any thread and is called without locks held. A completion callback may be called
+/// immediately or later, from any thread, exactly once.
 struct core_hooks {
     common::clock_hook now;
     common::wall_clock_hook wall_now;
@@ -104,15 +105,15 @@
     common::timer_hook timer;
     messages::agent_calls agents;
 
-    /// The newest configuration; null before the first one.
+    /// Latest configuration; null until one has been read.
     std::function<auto()->inventory::snapshot_ptr> snapshot;
     /// Until when the configuration is known to be current.
     std::function<auto()->common::time_point> current_until;
 
-    /// Whether enough backend servers are known to be sent requests; may be empty.
+    /// Whether enough backend servers are known for the entry to be ready. May be empty.
     std::function<auto()->bool> knows_servers;
 
-    /// Signs and checks session tokens.
+    /// Keys that sign and verify session tokens.
     session::key_ring keys;
 
     std::function<auto(const inventory::state& current, const version_query& query)
@@ -128,7 +129,7 @@
     std::function<auto(const attempt_report& report)->void> attempt_started;
     std::function<auto(const attempt_report& report)->void> attempt_ended;
 
-    /// `claims::claim_key`. Empty: keys can't be claimed.
+    /// Calls `claims::claim_key`. If empty, idempotency keys can't be claimed.
     std::function<auto(
                       messages::claim_request claim,
                       common::time_point deadline,
@@ -136,18 +137,19 @@
                       ->void>
         claim;
 
-    /// Asks a keeper to decide on a session name that a caller chose. Empty: such names can't be
-    /// had. Errors: `claims_unavailable`.
+    /// Asks a claim arbiter which version a caller-chosen session name belongs to. If empty, such
+    /// names are refused. Errors: `claims_unavailable`.
     std::function<
         auto(messages::claim_request claim, messages::answer_hook<messages::claim_answer> done)
             ->void>
         claim_name;
 
-    /// Errors: `limit_requests`, `limit_tokens`, `limit_money`.
+    /// Reserves the expected amounts from the organisation's limits. Errors: `limit_requests`,
+    /// `limit_tokens`, `limit_money`.
     std::function<auto(const common::organisation_id& organisation, const limits::amounts& expected)
                       ->common::result<void>>
         reserve_limits;
-    /// Corrects what was taken by what was used.
+    /// Replaces a reservation by the amounts that were used.
     std::function<auto(
                       const common::organisation_id& organisation,
                       const limits::amounts& expected,
@@ -155,11 +157,12 @@
                       ->void>
         settle_limits;
 
-    /// False while the collector is full: then new work is refused, so that no bill is dropped.
+    /// False while the bill collector is full. New work is then refused, so that no bill is
+    /// dropped.
     std::function<auto()->bool> accepts_bills;
     std::function<auto(messages::bill item)->void> add_bill;
 
-    /// Hands an answered question to the rating service. May be empty.
+    /// Submits an answered chat to the rating service. May be empty.
     std::function<auto(rated_chat item)->void> submit_for_rating;
     std::function<auto()->std::string> metrics_text;
 };
--- a/source/core/entry/decisions.cpp
+++ b/source/core/entry/decisions.cpp
@@ -14,7 +14,7 @@
     json::array steps;
     for (const auto& step : record.steps) {
         steps.push_back(json::object{
-            {"what", step.what},
+            {"what", step.kind},
             {"chosen", step.chosen},
             {"reason", step.reason},
             {"runner_up", step.runner_up}});
@@ -40,23 +40,23 @@
 
 auto decision_ring::add(decision_record record) -> void
 {
-    auto& part = this->shards[std::hash<common::request_id>{}(record.request) % shard_count];
-    const std::lock_guard guard(part.lock);
-    if (part.records.size() >= this->shard_limit) {
-        part.records.pop_front();
+    auto& target = this->shards[std::hash<common::request_id>{}(record.request) % shard_count];
+    const std::lock_guard guard(target.lock);
+    if (target.records.size() >= this->shard_limit) {
+        target.records.pop_front();
     }
-    part.records.push_back(std::move(record));
+    target.records.push_back(std::move(record));
 }
 
 auto decision_ring::find(const common::request_id& request) const -> std::optional<decision_record>
 {
-    const auto& part = this->shards[std::hash<common::request_id>{}(request) % shard_count];
-    const std::lock_guard guard(part.lock);
+    const auto& target = this->shards[std::hash<common::request_id>{}(request) % shard_count];
+    const std::lock_guard guard(target.lock);
     const auto found = std::find_if(
-        part.records.rbegin(), part.records.rend(), [&request](const decision_record& record) {
+        target.records.rbegin(), target.records.rend(), [&request](const decision_record& record) {
             return record.request == request;
         });
-    if (found == part.records.rend()) {
+    if (found == target.records.rend()) {
         return std::nullopt;
     }
     return *found;
--- a/source/core/entry/decisions.hpp
+++ b/source/core/entry/decisions.hpp
@@ -14,29 +14,30 @@
 
 namespace reedramp::entry {
 
-/// One step of a routing decision: "version", "server", "retry" and why.
+/// One step of a routing decision, such as "version", "server" or "retry", and its reason.
 struct decision_step {
-    std::string what;
+    std::string kind;
     std::string chosen;
     std::string reason;
     std::string runner_up;
 };
 
-/// Why a request ran where it ran.
+/// The routing decisions made for a request, for operators.
 struct decision_record {
     common::request_id request;
     common::organisation_id organisation;
     common::log_offset configuration;
     std::vector<decision_step> steps;
-    /// Set when the request has ended.
+    /// Set once the request has ended.
     std::optional<common::result_code> code;
     std::optional<common::execution> run;
 };
 
-/// As JSON, for operators.
+/// Formats the record as JSON, for operators.
 auto to_json(const decision_record& record) -> std::string;
 
-/// Remembers the newest decision records up to a fixed number; the oldest are dropped.
+/// Bounded buffer of the latest decision records. Thread-safe. The limit is divided evenly over the
+/// shards; each drops its oldest record when it is full.
 class decision_ring {
 public:
     explicit decision_ring(std::size_t limit);
--- a/source/core/entry/exchange.hpp
+++ b/source/core/entry/exchange.hpp
@@ -26,16 +26,16 @@
 class filter_chain;
 
 enum class attempt_phase : std::uint8_t {
-    /// Nothing is under way: filters run, or wait.
+    /// No attempt is in flight: filters are running or waiting.
     none,
     running,
-    /// The answer was lost; the agent is asked what became of it.
+    /// The response was lost; the agent is queried for the outcome of the attempt.
     querying_outcome,
-    /// The caller has its answer or has left; the agent is asked what was used, for the bill.
+    /// The caller has its response or has disconnected; the agent is queried for the usage to bill.
     settling,
 };
 
-/// The present try of a request on one backend server.
+/// The current attempt to run a request on a backend server.
 struct attempt_state {
     common::attempt_number number;
     attempt_phase phase = attempt_phase::none;
@@ -43,7 +43,7 @@
     common::time_point started;
     std::shared_ptr<messages::run_handle> handle;
     bool paused = false;
-    /// Tokens that the caller had when the attempt began.
+    /// Number of tokens that the caller had received when the attempt began.
     std::uint64_t first_token_index = 0;
     common::time_point query_until;
     common::error loss_reason;
@@ -51,15 +51,15 @@
 
 enum class response_phase : std::uint8_t {
     none,
-    /// Head and perhaps tokens of a stream are sent.
+    /// The head of a stream, and possibly tokens, have been sent.
     started,
-    /// All is sent, or the caller has left.
+    /// The response is complete, or the caller has disconnected.
     ended,
 };
 
-/// One request of a caller on its way through the filters.
+/// A caller's request and its state as it passes through the filter chain.
 ///
-/// All members but `queue` are touched only by actions on `queue`.
+/// All members except `queue` are accessed only by actions that run on `queue`.
 struct exchange : std::enable_shared_from_this<exchange> {
     exchange(std::shared_ptr<core_context> owner, std::size_t text_limit)
         : context(std::move(owner)), tokens(text_limit)
@@ -68,14 +68,14 @@
 
     std::shared_ptr<core_context> context;
     const filter_chain* chain = nullptr;
-    /// Index of the filter that runs next.
+    /// Index of the next filter to run.
     std::size_t next_filter = 0;
-    /// How many filters have run at least once.
+    /// Number of filters that have run at least once; `filter_chain::end` covers these.
     std::size_t filters_started = 0;
     serial_queue queue;
 
     common::request_id id;
-    /// The id under which it is billed: that of an earlier copy, if its answer is passed on.
+    /// Request id on the bill: that of an earlier copy of the request if its response is passed on.
     common::request_id billing_id;
     http::request request;
     std::shared_ptr<http::responder> responder;
@@ -97,16 +97,16 @@
     placement_decision placement;
     std::vector<common::server_id> tried_servers;
     std::optional<limits::amounts> reserved_amounts;
-    /// Offset of the claim that holds for this request.
+    /// Log offset of the claim in force for this request.
     std::optional<common::log_offset> claim_offset;
 
     attempt_state attempt;
-    /// What is known of earlier attempts together.
+    /// Combined execution state of the earlier attempts.
     common::execution past_execution = common::execution::not_run;
     std::optional<common::error> last_failure;
     sent_token_tracker tokens;
     sse_writer events;
-    /// Text of the answer, if it is going to be rated.
+    /// Text of the response, kept only if the chat is going to be rated.
     std::string response_text;
     bool is_rated = false;
     response_phase response = response_phase::none;
@@ -118,7 +118,7 @@
 
 using exchange_ptr = std::shared_ptr<exchange>;
 
-/// Runs `action` on the exchange's queue and keeps the exchange alive until then.
+/// Runs `action` on the queue of `item` and keeps `item` alive until then.
 template <typename Action>
 auto post(const exchange_ptr& item, Action action) -> void
 {
--- a/source/core/entry/filter.hpp
+++ b/source/core/entry/filter.hpp
@@ -12,40 +12,42 @@
 enum class filter_step : std::uint8_t {
     /// The next filter runs.
     proceed,
-    /// The chain stops here: the filter has ended the exchange, or it resumes the chain later.
+    /// Stops the chain: the filter has ended the exchange, or will resume the chain later.
     stop,
 };
 
-/// One decision on a request's way. The name is for logs and restarts.
+/// One stage of request processing. The name appears in logs and identifies the filter for
+/// restarts.
 struct filter {
     std::string_view name;
     std::function<auto(const exchange_ptr& item)->filter_step> on_request;
-    /// Runs once when the exchange has ended, if `on_request` has run. May be empty.
+    /// Called once when the exchange has ended, if `on_request` has run. May be empty.
     std::function<auto(exchange& item)->void> on_end = nullptr;
 };
 
-/// Filters in their order. Immutable; shared by all requests of one kind.
+/// An ordered list of filters. Immutable; shared by all requests of one kind.
 class filter_chain {
 public:
     explicit filter_chain(std::vector<filter> in_order) : filters(std::move(in_order)) {}
 
-    /// Runs from the exchange's next filter on until one stops. On the exchange's queue only.
+    /// Runs filters from the exchange's next one until one stops the chain. Only on the exchange's
+    /// queue.
     auto run(const exchange_ptr& item) const -> void;
 
-    /// Goes back to the filter of this name, for another attempt.
+    /// Restarts the chain at the filter of this name, for another attempt.
     auto restart_at(const exchange_ptr& item, std::string_view name) const -> void;
 
-    /// Runs `on_end` of the filters that were reached, the last one first.
+    /// Calls `on_end` of all filters that have run, in reverse order.
     auto end(exchange& item) const -> void;
 
 private:
     std::vector<filter> filters;
 };
 
-/// Lets a filter that has stopped the chain go on, from any thread.
+/// Continues a chain that a filter has stopped. May be called from any thread.
 auto resume(const exchange_ptr& item) -> void;
 
-/// The filters, in the order of the chain; each is in a file of its own.
+/// The filters, each defined in a file of its own; `core_context` sets their order.
 auto make_authenticate() -> filter;
 auto make_organisation_rules() -> filter;
 auto make_session() -> filter;
--- a/source/core/entry/filter_billing.cpp
+++ b/source/core/entry/filter_billing.cpp
@@ -6,21 +6,22 @@
 
 namespace {
 
-/// Refuses new work while bills can't be kept: a request that is not billed is never run.
+/// Refuses new work while bills can't be stored, so that no request runs without being billed.
 auto check_bill_capacity(const exchange_ptr& item) -> filter_step
 {
     const auto& context = *item->context;
     if (context.hooks.accepts_bills()) {
         return filter_step::proceed;
     }
-    auto why = common::make_error(common::result_code::log_unavailable, "no room for bills");
+    auto why = common::make_error(
+        common::result_code::log_unavailable, "the buffer of unconfirmed bills is full");
     why.retry_at = context.hooks.now() + context.options.retry_after;
     refuse(item, std::move(why));
     return filter_step::stop;
 }
 
-/// One bill for each request of which something was sent to a server that did not refuse it, with
-/// a line for each attempt.
+/// Emits one bill per request, with a line for each attempt that may have run. Refused attempts are
+/// not billed.
 auto write_bill(exchange& item) -> void
 {
     if (item.bill_lines.empty()) {
--- a/source/core/entry/filter_claim.cpp
+++ b/source/core/entry/filter_claim.cpp
@@ -39,14 +39,15 @@
     item->chain->run(item);
 }
 
-/// An earlier copy of the request has ended: its answer is the caller's, and its bill too. Readers
-/// drop that bill if the entry that ran it has written it already.
+/// An earlier copy of the request has ended: its response is sent to this caller, and its bill is
+/// written under its id. Readers of the bills drop the duplicate if the entry that ran the copy has
+/// written the bill as well.
 auto on_answered(const exchange_ptr& item, const claims::claim_answered& answered) -> void
 {
     record_decision(
         *item,
         common::log_part::claims,
-        {"claim", answered.holder.server.value(), "answered before", {}});
+        {"claim", answered.holder.server.value(), "already answered", {}});
     item->billing_id = answered.holder.request;
     item->version = answered.holder.version;
     item->placement.server = answered.holder.server;
@@ -57,7 +58,8 @@
     }
     add_bill_line(*item, answered.outcome.used);
     auto why = answered.outcome.why.value_or(common::make_error(
-        common::result_code::duplicate_request, "it ran, and its answer is no longer kept"));
+        common::result_code::duplicate_request,
+        "the request ran, but its response is no longer stored"));
     why.run = common::execution::ran;
     fail_request(item, std::move(why));
 }
@@ -69,7 +71,7 @@
         record_decision(
             *item,
             common::log_part::claims,
-            {"claim", item->placement.server.value(), "unavailable, not needed", {}});
+            {"claim", item->placement.server.value(), "unavailable but not required", {}});
         item->chain->run(item);
         return;
     }
@@ -92,8 +94,8 @@
     }
 }
 
-/// Claims the caller's idempotency key for this request and the agent that it is going to. The
-/// log decides between copies of the request at several entries, so that only one is sent.
+/// Claims the caller's idempotency key for this request and its target agent. The log decides
+/// between copies of the request at several entries, so that only one of them is dispatched.
 auto claim_key(const exchange_ptr& item) -> filter_step
 {
     if (!item->headers.idempotency_key) {
--- a/source/core/entry/filter_dispatch.cpp
+++ b/source/core/entry/filter_dispatch.cpp
@@ -17,8 +17,8 @@
     request.kind = item.kind;
     request.repeat = item.repeat;
     if (item.headers.idempotency_key) {
-        // The agent keeps the answers of such runs, and finishes them when the caller leaves: a
-        // retry with the key gets that answer.
+        // The agent stores the responses of `at_most_once` runs and finishes them even if the
+        // caller disconnects, so that a retry with the same key gets the response.
         request.repeat = messages::repeat_rule::at_most_once;
     }
     request.organisation = item.organisation;
@@ -46,8 +46,9 @@
     return request;
 }
 
-/// Stops the source while the caller's connection has much to send. Without it, a slow caller's
-/// whole answer would wait in this process's memory.
+/// Pauses the run while the backlog on the caller's connection is high. Otherwise the whole
+/// response to a slow caller would be buffered in this process. Aborts the response if the backlog
+/// exceeds its limit.
 auto apply_backpressure(const exchange_ptr& item) -> void
 {
     const auto& options = item->context->options;
@@ -92,7 +93,8 @@
         fail_attempt(
             item,
             attempt_failure::failed,
-            common::make_error(common::result_code::stream_broken, "tokens are missing"));
+            common::make_error(
+                common::result_code::stream_broken, "tokens are missing from the stream"));
         return;
     case token_check::next:
         break;
@@ -129,8 +131,8 @@
     }
 }
 
-/// An event of an attempt that is no longer the present one, or of an ended exchange, is dropped:
-/// the caller may have those tokens from a later attempt already.
+/// Handles an event of a run. Events of an earlier attempt or an ended exchange are dropped,
+/// because the caller may already have those tokens from a later attempt.
 auto on_event(const exchange_ptr& item, common::attempt_number number, messages::run_event event)
     -> void
 {
@@ -180,7 +182,7 @@
         return filter_step::stop;
     }
     if (attempt.number.value() == 0) {
-        context.budget.note_first_try();
+        context.retry_budget.note_first_try();
         const auto every = context.options.rate_every;
         item->is_rated = context.hooks.submit_for_rating &&
                          item->kind == messages::work_kind::chat && every > 0 &&
@@ -197,8 +199,9 @@
     attempt.handle = context.hooks.agents.run(
         item->placement.address,
         make_run_request(*item),
-        // The registry keeps the exchange until it has ended; a handle that kept its own sink, and
-        // through it the exchange that holds the handle, would never go.
+        // The sink holds a weak reference: the exchange owns the handle, and the handle its sink,
+        // so a strong one would form a cycle. The registry keeps the exchange alive until it has
+        // ended.
         [weak = std::weak_ptr<exchange>(item), shared = item->context, number = attempt.number](
             messages::run_event event) {
             const auto self = weak.lock();
--- a/source/core/entry/filter_limits.cpp
+++ b/source/core/entry/filter_limits.cpp
@@ -33,8 +33,8 @@
     return used;
 }
 
-/// Takes from the organisation's share. It comes after the choice of the version, since money
-/// depends on the version's price.
+/// Reserves the expected amounts from the organisation's limits. Runs after the version is chosen,
+/// because the cost depends on the version's price.
 auto reserve(const exchange_ptr& item) -> filter_step
 {
     const auto& hooks = item->context->hooks;
--- a/source/core/entry/filter_list_models.cpp
+++ b/source/core/entry/filter_list_models.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Lists what the organisation may name: its models, and their versions that are not withdrawn.
+/// Lists the models that the organisation may use and their versions that are not withdrawn.
 auto list_models(const exchange_ptr& item) -> filter_step
 {
     const auto* owner = rules::find_organisation(*item->state, item->organisation);
--- a/source/core/entry/filter_open_session.cpp
+++ b/source/core/entry/filter_open_session.cpp
@@ -26,7 +26,8 @@
     end_exchange(item, common::result_code::ok, common::execution::ran);
 }
 
-/// The first claim of the name decides its version, for all entries alike.
+/// Applies the result of claiming a session name. The first claim decides the session's version,
+/// for all entries alike.
 auto apply_name_claim(
     const exchange_ptr& item,
     session::pin pin,
--- a/source/core/entry/filter_organisation_rules.cpp
+++ b/source/core/entry/filter_organisation_rules.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Whether a name that a caller gives means this version.
+/// Whether a model name given by a caller includes this version.
 auto matches_model_name(const std::string& name, const inventory::version& version) -> bool
 {
     return name == any_model || name == version.model.value() || name == version.id.value();
 }
 
-/// The organisation must be allowed some version that the name means. Which one, and whether it
-/// takes work now, is decided later.
+/// Checks that the organisation may use at least one of the versions that the name includes. Later
+/// filters choose the version and check that it is serving.
 auto check_model(
     const inventory::state& state, const inventory::organisation& owner, const std::string& name)
     -> common::result<void>
@@ -61,20 +61,20 @@
         refuse(item, common::make_error(common::result_code::unauthenticated));
         return filter_step::stop;
     }
-    common::result<void> verdict;
+    common::result<void> check_result;
     switch (item->matched_route.kind) {
     case route_kind::service:
-        verdict = check_service(*item, *owner);
+        check_result = check_service(*item, *owner);
         break;
     case route_kind::open_session:
-        verdict = check_model(*item->state, *owner, item->requested_session.model);
+        check_result = check_model(*item->state, *owner, item->requested_session.model);
         break;
     default:
-        verdict = check_model(*item->state, *owner, item->chat.model);
+        check_result = check_model(*item->state, *owner, item->chat.model);
         break;
     }
-    if (!verdict) {
-        refuse(item, verdict.error());
+    if (!check_result) {
+        refuse(item, check_result.error());
         return filter_step::stop;
     }
     return filter_step::proceed;
--- a/source/core/entry/filter_placement.cpp
+++ b/source/core/entry/filter_placement.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Between two looks for a server of a session's version.
+/// Pause between two attempts to place a session's request while its version has no server.
 constexpr auto retry_interval = std::chrono::milliseconds(200);
 
 auto make_query(const exchange& item) -> placement_query
@@ -29,8 +29,8 @@
     return query;
 }
 
-/// A session can't go to another version, so it waits for a server of its own while there is none.
-/// Any other request is told at once.
+/// Whether to wait for a server. A session can't move to another version, so its request waits
+/// while its version has no server. Any other request is refused immediately.
 auto can_wait_for_server(const exchange& item, common::time_point now) -> bool
 {
     const auto wait_until = item.arrived + item.context->options.session_wait;
@@ -65,7 +65,7 @@
         });
         return;
     }
-    // What the last server said tells a caller more than that there is no other one.
+    // The refusal of the last server tells the caller more than the lack of another server.
     fail_request(item, item->last_failure.value_or(decision.error()));
 }
 
--- a/source/core/entry/filter_session.cpp
+++ b/source/core/entry/filter_session.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Whether the pinned version may still serve this request. A session is never moved: on another
-/// version, its next answer would not fit the ones before.
+/// Checks whether the pinned version may still serve this request. A session is never moved to
+/// another version, because its next response would not be consistent with the earlier ones.
 auto check_pin(const exchange& item, const session::pin& pin) -> common::result<void>
 {
     const auto& name = item.chat.model;
     if (name != any_model && name != pin.model.value() && name != pin.version.value()) {
         return common::failure(
-            common::result_code::bad_session_token, "the session is of another model");
+            common::result_code::bad_session_token, "the session belongs to another model");
     }
     const auto& hooks = item.context->hooks;
     const rules::freshness fresh{hooks.current_until(), hooks.now()};
@@ -37,7 +37,7 @@
     return {};
 }
 
-/// Reads the session token, if there is one, and takes over its version.
+/// Verifies the session token, if present, and pins the request to its version.
 auto apply_session_token(const exchange_ptr& item) -> filter_step
 {
     if (!item->headers.session_token) {
@@ -54,9 +54,9 @@
         item->pin = std::move(*pin);
         return filter_step::proceed;
     }
-    const auto verdict = check_pin(*item, *pin);
-    if (!verdict) {
-        refuse(item, verdict.error());
+    const auto check_result = check_pin(*item, *pin);
+    if (!check_result) {
+        refuse(item, check_result.error());
         return filter_step::stop;
     }
     item->pin = std::move(*pin);
--- a/source/core/entry/filter_version_choice.cpp
+++ b/source/core/entry/filter_version_choice.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Tokens of each kind by which versions are compared for a session, whose requests are not known.
+/// Prompt and completion tokens assumed for comparing versions for a session, whose requests are
+/// not known yet.
 constexpr common::token_count session_tokens(1000);
 
 auto make_query(const exchange& item) -> version_query
@@ -36,7 +37,8 @@
     return query;
 }
 
-/// The chooser is a matter of cost and quality; the rules hold whatever it says.
+/// Checks the chosen version against the rules, which apply regardless of how the chooser weighs
+/// cost and quality.
 auto check_choice(const exchange& item, const version_decision& decision) -> common::result<void>
 {
     const auto& hooks = item.context->hooks;
@@ -69,8 +71,8 @@
         refuse(item, decision.error());
         return filter_step::stop;
     }
-    if (const auto verdict = check_choice(*item, *decision); !verdict) {
-        refuse(item, verdict.error());
+    if (const auto check_result = check_choice(*item, *decision); !check_result) {
+        refuse(item, check_result.error());
         return filter_step::stop;
     }
     item->model = decision->model;
--- a/source/core/entry/placer.cpp
+++ b/source/core/entry/placer.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Services have no version; their probes are kept under a name that no version has.
+/// Key of the probe pool. Services have no version; their probes are stored under a key that no
+/// version id can have.
 auto pool_key(const placement_query& query) -> common::version_id
 {
     if (query.kind == messages::work_kind::chat) {
@@ -38,7 +39,7 @@
 
 } // namespace
 
-/// One request that waits for probes.
+/// A placement that waits for probe answers.
 struct placer::pending {
     placement_query query;
     placement::place_request request;
@@ -46,10 +47,10 @@
     done_hook done;
     std::atomic<std::size_t> outstanding_probes{0};
     std::atomic<bool> decided{false};
-    /// Rounds of probes sent.
+    /// Number of probe rounds sent.
     std::atomic<std::size_t> rounds{1};
 
-    /// True for the one caller that comes first.
+    /// Returns true to exactly one caller, which then decides the placement.
     auto claim_decision() -> bool { return !this->decided.exchange(true); }
 };
 
@@ -130,8 +131,9 @@
     this->send_probes(item, plan.ask);
 }
 
-/// Waiting for the probes would add a trip to each request; at a high rate the answers to the
-/// probes of the requests before are hardly older.
+/// Whether recent probe answers suffice for the placement. Waiting for probes would add a round
+/// trip to each request; at a high rate, the answers to the probes of earlier requests are hardly
+/// older.
 auto placer::has_recent_probes(const pending& item, const placement::probe_plan& plan) -> bool
 {
     const auto now = this->hooks.now();
@@ -173,8 +175,8 @@
     }
 }
 
-/// Asks further servers while those that answered are all busy. The time to decide stays what it
-/// was.
+/// Probes further servers if all that answered are busy. The time at which the placement is decided
+/// doesn't change.
 auto placer::on_all_probes_answered(const pending_ptr& item) -> void
 {
     if (item->decided) {
@@ -238,8 +240,9 @@
         chosen->runner_up.value_or(common::server_id())});
 }
 
-/// A request names the life of the agent that it is for. A server that has not answered yet is
-/// asked for it; if it does not tell, the next best one is taken.
+/// Probes a chosen server whose incarnation is not known yet, since a request must name the
+/// incarnation of the agent that it is sent to. If the server doesn't answer in time, the next best
+/// one is chosen.
 auto placer::resolve_incarnation(const pending_ptr& item, const placement::placement& chosen)
     -> void
 {
--- a/source/core/entry/placer.hpp
+++ b/source/core/entry/placer.hpp
@@ -24,13 +24,14 @@
     membership::subset_config subset;
     placement::chooser_settings chooser;
     placement::probe_pool_settings pool;
-    /// A request does not wait for its probes when this many answers are no older than `young`, and
-    /// its preferred server is among them; its probes then serve the next requests.
+    /// A request doesn't wait for its probes if at least this many probe answers are at most
+    /// `recent_probe_age` old and its preferred server is among them. Its own probes then serve
+    /// later requests.
     std::size_t min_recent_probes = 2;
     common::duration recent_probe_age = std::chrono::milliseconds(50);
-    /// How long a list of candidates is used while membership does not change.
+    /// How long a candidate list is reused while the membership doesn't change.
     common::duration candidates_lifetime = std::chrono::milliseconds(100);
-    /// How long a server of which no life is known yet is asked for it.
+    /// How long to wait for the incarnation of a server that has not answered a probe yet.
     common::duration incarnation_probe_timeout = std::chrono::milliseconds(1500);
     common::duration retry_after = std::chrono::seconds(1);
 };
@@ -39,7 +40,7 @@
     common::clock_hook now;
     common::timer_hook timer;
     common::random_hook random;
-    /// `messages::agent_calls::probe`.
+    /// Implemented by `messages::agent_calls::probe`.
     std::function<auto(
                       const messages::rpc_address& to,
                       messages::probe_request request,
@@ -48,8 +49,8 @@
         probe;
 };
 
-/// Places requests on backend servers: membership says which are usable, probes how busy they are,
-/// the chooser decides. Thread-safe; hooks are called outside locks.
+/// Places requests on backend servers: the membership view lists the usable servers, probes tell
+/// their load, and the chooser decides. Thread-safe; hooks are called without locks held.
 class placer : public std::enable_shared_from_this<placer> {
 public:
     using done_hook = std::function<auto(common::result<placement_decision> decision)->void>;
@@ -58,16 +59,17 @@
     create(placer_settings settings, placer_hooks hooks, std::shared_ptr<membership::view> members)
         -> std::shared_ptr<placer>;
 
-    /// `core_hooks::place`. Errors: `no_capacity`.
+    /// Implements `core_hooks::place`. Errors: `no_capacity`.
     auto place(placement_query query, done_hook done) -> void;
 
-    /// `core_hooks::attempt_ended`: what an attempt showed of its server.
+    /// Implements `core_hooks::attempt_ended`: updates the membership from the result of an
+    /// attempt.
     auto attempt_ended(const attempt_report& report) -> void;
 
-    /// A connection to this address was lost.
+    /// Marks the servers at this address as failed after a connection loss.
     auto connection_lost(const messages::rpc_address& address) -> void;
 
-    /// Asks a server how it is, so that membership learns of a new life or a departure.
+    /// Probes a server, so that the membership view learns of a new incarnation or a departure.
     auto probe(const common::server_id& server) -> void;
 
 private:
--- a/source/core/entry/prices.hpp
+++ b/source/core/entry/prices.hpp
@@ -7,7 +7,7 @@
 
 namespace reedramp::entry {
 
-/// What this usage costs on a version; zero for one that the configuration does not know, and for
+/// Cost of the usage on a version; zero if the configuration doesn't know the version, and for
 /// services.
 auto cost_of(
     const inventory::state& state, const common::version_id& version, const messages::usage& used)
--- a/source/core/entry/reply.cpp
+++ b/source/core/entry/reply.cpp
@@ -23,8 +23,8 @@
     item.responder->start(std::move(head));
 }
 
-/// Usage as the caller sees it. A server that goes on with a stream reads what was sent as part of
-/// its prompt; the caller has asked for one prompt and got one answer.
+/// Usage for the caller. A server that continues a stream counts the text already sent as part of
+/// its prompt, but the caller sent one prompt and received one response.
 auto usage_for_caller(const exchange& item, const messages::usage& last) -> messages::usage
 {
     const auto continued = item.attempt.first_token_index;
@@ -145,7 +145,7 @@
 
 auto refuse(const exchange_ptr& item, common::error why) -> void
 {
-    // A filter that is run again after a failed attempt knows only of this time.
+    // A filter that runs again after a failed attempt doesn't know about that attempt.
     why.run = combine_execution(why.run, item->past_execution);
     send_error(*item, why);
     end_exchange(item, why.code, why.run);
@@ -153,7 +153,7 @@
 
 auto record_decision(exchange& item, common::log_part part, decision_step step) -> void
 {
-    std::string line = step.what + " chosen=" + step.chosen + " reason=" + step.reason;
+    std::string line = step.kind + " chosen=" + step.chosen + " reason=" + step.reason;
     if (!step.runner_up.empty()) {
         line += " runner_up=" + step.runner_up;
     }
--- a/source/core/entry/responses.cpp
+++ b/source/core/entry/responses.cpp
@@ -32,7 +32,7 @@
     return object;
 }
 
-/// Appends `text` as the inside of a JSON string.
+/// Appends `text`, escaped for use inside a JSON string.
 auto append_escaped(std::string& out, std::string_view text) -> void
 {
     for (const auto character : text) {
--- a/source/core/entry/routes.cpp
+++ b/source/core/entry/routes.cpp
@@ -29,7 +29,7 @@
     const auto end = rest.find_first_of("/?");
     const auto name = rest.substr(0, end);
     if (name.empty()) {
-        return common::failure(common::result_code::unknown_path, "the service's name is missing");
+        return common::failure(common::result_code::unknown_path, "the service name is missing");
     }
     auto path = end == std::string_view::npos ? std::string("/") : std::string(rest.substr(end));
     if (path.front() == '?') {
@@ -56,7 +56,7 @@
         if (fixed.method != method) {
             return common::failure(
                 common::result_code::method_not_allowed,
-                "this path takes " + std::string(fixed.method));
+                "this path only accepts " + std::string(fixed.method));
         }
         return route{fixed.kind, {}, {}};
     }
--- a/source/core/entry/serial_queue.hpp
+++ b/source/core/entry/serial_queue.hpp
@@ -7,17 +7,17 @@
 
 namespace reedramp::entry {
 
-/// Runs actions one after the other, on the threads that bring them.
+/// Runs actions one at a time, on the threads that post them.
 ///
-/// Events of one request come from several threads: the caller's connection, the RPC client,
-/// timers. A lock around the request would be held while hooks are called; here the lock only
-/// guards the queue, and an action that a hook posts from inside runs after the present one.
+/// Events of a request come from several threads: the caller's connection, the RPC client, timers.
+/// A lock around the request would be held while hooks are called. Here the lock only protects the
+/// queue, and an action posted from within a hook runs after the current one.
 class serial_queue {
 public:
     using action = std::function<auto()->void>;
 
-    /// Runs `next`, or leaves it to the thread that is running an action now. The caller keeps the
-    /// queue alive during the call.
+    /// Runs `next`, or leaves it to the thread that is currently running an action. The caller must
+    /// keep the queue alive during the call.
     auto post(action next) -> void
     {
         {
--- a/source/core/entry/version_chooser.hpp
+++ b/source/core/entry/version_chooser.hpp
@@ -6,13 +6,13 @@
 
 namespace reedramp::entry {
 
-/// Versions that a request may run on now: meant by its name, allowed to its organisation, serving,
-/// and not refused before. Errors, when there is none: `version_withdrawn`, `stale_configuration`,
-/// `organisation_not_allowed`, `unknown_model`.
+/// Versions on which a request may run now: they match its model name, are allowed for its
+/// organisation, are serving, and have not been refused for this request. Errors if there is none:
+/// `version_withdrawn`, `stale_configuration`, `organisation_not_allowed`, `unknown_model`.
 auto eligible_versions(const inventory::state& current, const version_query& query)
     -> common::result<std::vector<const inventory::version*>>;
 
-/// The cheapest eligible version by what the request is expected to cost.
+/// Chooses the eligible version with the lowest expected cost of the request.
 auto cheapest_version(const inventory::state& current, const version_query& query)
     -> common::result<version_decision>;
 
--- a/source/core/entry/version_policy.cpp
+++ b/source/core/entry/version_policy.cpp
@@ -26,7 +26,7 @@
     return std::ranges::any_of(versions, [&id](const auto* one) { return one->id == id; });
 }
 
-/// All of the version's new work goes to a later version now.
+/// Whether a completed roll-out has moved all new work of the version to an eligible later version.
 auto is_replaced(
     const inventory::state& current, const version_list& eligible, const common::version_id& id)
     -> bool
@@ -38,8 +38,9 @@
     });
 }
 
-/// Versions that are chosen by their merits. One that is being rolled out gets work only as the
-/// share of its roll-out; one that was replaced gets none. Where nothing else is left, they serve.
+/// Versions that are chosen by cost and quality. A version that is being rolled out only gets the
+/// share of its roll-out, and a replaced version gets no new work. If no other version is left, all
+/// eligible versions are used.
 auto established_versions(const inventory::state& current, const version_list& eligible)
     -> version_list
 {
@@ -54,7 +55,8 @@
     return found.empty() ? eligible : found;
 }
 
-/// The same request or session always falls on the same side of a share.
+/// Hash that decides whether a request is within the share of a roll-out; the same request id
+/// always gives the same result.
 auto share_hash(const version_query& query, const std::string& rollout) -> std::uint64_t
 {
     return XXH3_64bits_withSeed(
@@ -107,7 +109,8 @@
     const auto affordable = within_ceiling(rule_of(current, query), std::move(*eligible));
     if (affordable.empty()) {
         return common::failure(
-            common::result_code::organisation_not_allowed, "all are above the price ceiling");
+            common::result_code::organisation_not_allowed,
+            "all versions are above the price ceiling");
     }
     if (names_one_version(query, affordable)) {
         return named_decision(*affordable.front());
@@ -156,9 +159,9 @@
         return;
     }
     const auto chosen = std::ranges::find(options, made.key, &policy::option::key);
-    const auto dearest = std::ranges::max(options, {}, &policy::option::expected_cost);
+    const auto most_expensive = std::ranges::max(options, {}, &policy::option::expected_cost);
     const std::lock_guard guard(this->lock);
-    this->accounts[key].book(chosen->quality, target, dearest.expected_cost);
+    this->accounts[key].book(chosen->quality, target, most_expensive.expected_cost);
 }
 
 auto version_policy::choose_among(
@@ -169,7 +172,7 @@
 {
     const auto options = this->options_for(current, query, candidates);
     const auto* rule = rule_of(current, query);
-    // Tasks are named by callers, so accounts are only kept for those that a rule names.
+    // Callers choose task names freely, so accounts are only kept for tasks that a rule names.
     const account_key key{query.organisation, rule == nullptr ? common::task_name() : rule->task};
     policy::choice_input input;
     input.options = options;
@@ -182,7 +185,7 @@
     }
     const auto made = policy::choose(input);
     if (!made) {
-        return common::failure(common::result_code::no_capacity, "no version fits the request");
+        return common::failure(common::result_code::no_capacity, "no version suits the request");
     }
     this->update_quality_account(key, *made, options, input.quality_target);
     version_decision decision;
@@ -247,13 +250,14 @@
         if (!answer) {
             continue;
         }
-        const auto drifts = this->quality.add({answer->version, {}}, answer->task, rating.score);
+        const auto has_drifted =
+            this->quality.add({answer->version, {}}, answer->task, rating.score);
         this->own_evidence.on_rating(current, answer->version, rating.score);
-        if (drifts) {
+        if (has_drifted) {
             common::log(
                 common::log_part::policy,
                 common::log_level::warning,
-                "ratings have changed version=" + answer->version.value() +
+                "quality ratings have drifted version=" + answer->version.value() +
                     " task=" + answer->task.value());
         }
     }
--- a/source/core/entry/version_policy.hpp
+++ b/source/core/entry/version_policy.hpp
@@ -26,42 +26,44 @@
 struct version_policy_settings {
     policy::quality_options quality;
     control::rollout_options rollouts;
-    /// Share of requests, not of sessions, that may explore a cheaper version.
+    /// Share of requests outside sessions that may explore a cheaper version.
     double explore_share = 0.03;
-    /// An answer that took longer than this counts as slow for the guard of a roll-out.
+    /// Responses that take longer count as slow for the regression detector of a roll-out.
     common::duration slow_after = std::chrono::seconds(10);
-    /// Answers that wait for their rating.
+    /// Maximum number of answers that wait for their rating.
     std::size_t awaiting_limit = 50'000;
 };
 
-/// Chooses versions by cost at the quality target, and watches roll-outs: the estimates from
-/// ratings, the share of a roll-out, and this entry's evidence joined with that of the others.
+/// Chooses versions by cost at the quality target, using quality estimates from ratings, and
+/// controls roll-outs using this entry's evidence pooled with that of the other entries.
 /// Thread-safe.
 class version_policy {
 public:
     explicit version_policy(version_policy_settings wanted);
 
-    /// `core_hooks::choose_version`; `chance` is uniform in [0, 1). Errors: those of
-    /// `eligible_versions`, and `organisation_not_allowed` when all are above the price ceiling.
+    /// Implements `core_hooks::choose_version`; `chance` is uniform in [0, 1). Errors: those of
+    /// `eligible_versions`; `organisation_not_allowed` if all versions are above the price ceiling;
+    /// `no_capacity` if no version suits the request.
     auto choose(const inventory::state& current, const version_query& query, double chance)
         -> common::result<version_decision>;
 
-    /// An attempt has ended.
+    /// Records the result of an attempt as evidence.
     auto on_attempt(const inventory::state& current, const attempt_report& report) -> void;
 
-    /// An answer was handed to the rating service.
+    /// Records that an answer was submitted to the rating service.
     auto on_submitted(const common::request_id& request, control::rated_answer answer) -> void;
 
     auto on_ratings(const inventory::state& current, const std::vector<platform::rating>& ratings)
         -> void;
 
-    /// This entry's evidence, for a message to the others.
+    /// This entry's evidence, to be sent to the other entries.
     [[nodiscard]] auto evidence() const -> std::vector<messages::version_evidence>;
 
-    /// Takes in an entry's evidence, this one's too.
+    /// Applies the evidence of an entry, including this one.
     auto apply_evidence(const messages::gossip& gossip) -> void;
 
-    /// Looks at the roll-outs; call it each second. `rank` is this entry's place among all.
+    /// Evaluates the roll-outs; to be called every second. `rank` is this entry's rank among all
+    /// entries.
     auto tick(const inventory::state& current, std::uint32_t rank, common::time_point now)
         -> std::vector<control::rollout_action>;
 
