--- a/source/unit_tests/entry/admin_api_test.cpp
+++ b/source/unit_tests/entry/admin_api_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Answers each operator's wish, with a conflict for the record "late".
+/// Hooks that succeed, except that publishing the record "late" is a conflict.
 auto make_hooks() -> admin_hooks
 {
     admin_hooks hooks;
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("operators' requests are answered by the table", "[admin]")
+TEST_CASE("operators' requests get the expected status and problem", "[admin]")
 {
     struct row {
         std::string method;
@@ -72,7 +72,7 @@
     }
 }
 
-TEST_CASE("an entry explains its decisions, and an operator's key runs nothing", "[admin]")
+TEST_CASE("an entry explains its decisions, and an operator's key can't run requests", "[admin]")
 {
     core_fixture test;
     test.operators = {inventory::sha256_hex("op")};
--- a/source/unit_tests/entry/callers_api_test.cpp
+++ b/source/unit_tests/entry/callers_api_test.cpp
@@ -78,19 +78,20 @@
     const std::string session = "Reedramp-Session";
     return {
         chat_with("empty body", "", "malformed_json"),
-        chat_with("cut JSON", R"({"model":"small","messages":[)", "malformed_json"),
-        chat_with("text behind the JSON", good_body + "x", "malformed_json"),
+        chat_with("truncated JSON", R"({"model":"small","messages":[)", "malformed_json"),
+        chat_with("text after the JSON", good_body + "x", "malformed_json"),
         chat_with("a list", "[]", "malformed_json"),
-        chat_with("too deep", nested(40), "malformed_json"),
-        chat_with("far too deep", nested(100'000), "malformed_json"),
+        chat_with("nested too deep", nested(40), "malformed_json"),
+        chat_with("nested far too deep", nested(100'000), "malformed_json"),
         chat_with("not UTF-8", "{\"model\":\"\xc3\x28\",\"messages\":[]}", "malformed_json"),
         chat_with("no model", R"({"messages":[{"role":"user"}]})", "malformed_json"),
-        chat_with("model of another type", R"({"model":7,"messages":[{}]})", "malformed_json"),
+        chat_with("model of the wrong type", R"({"model":7,"messages":[{}]})", "malformed_json"),
         chat_with("no messages", R"({"model":"small"})", "malformed_json"),
         chat_with("empty messages", R"({"model":"small","messages":[]})", "malformed_json"),
-        chat_with("a message of text", R"({"model":"small","messages":["hi"]})", "malformed_json"),
         chat_with(
-            "content of a number",
+            "message that is a string", R"({"model":"small","messages":["hi"]})", "malformed_json"),
+        chat_with(
+            "content that is a number",
             R"({"model":"small","messages":[{"role":"user","content":1}]})",
             "malformed_json"),
         chat_with(
@@ -98,7 +99,7 @@
             R"({"model":"small","max_tokens":-1,"messages":[{"role":"user"}]})",
             "malformed_json"),
         chat_with(
-            "stream of text",
+            "stream that is a string",
             R"({"model":"small","stream":"yes","messages":[{"role":"user"}]})",
             "malformed_json"),
         chat_with(
@@ -120,16 +121,18 @@
         credentials("another scheme", {{"Authorization", "Basic a2V5"}}),
         credentials("wrong key", {bearer("kez")}),
         credentials("empty key", {bearer("")}),
-        headers_with("two keys", bearer("key"), "bad_header"),
-        headers_with("no number of ms", {"Reedramp-Deadline-Ms", "soon"}, "bad_header"),
-        headers_with("zero ms", {"reedramp-deadline-ms", "0"}, "bad_header"),
-        headers_with("too many ms", {"Reedramp-Deadline-Ms", "99999999999"}, "bad_header"),
+        headers_with("repeated Authorization header", bearer("key"), "bad_header"),
+        headers_with(
+            "deadline that is not a number", {"Reedramp-Deadline-Ms", "soon"}, "bad_header"),
+        headers_with("deadline of zero", {"reedramp-deadline-ms", "0"}, "bad_header"),
+        headers_with(
+            "deadline out of range", {"Reedramp-Deadline-Ms", "99999999999"}, "bad_header"),
         headers_with("task with a space", {"Reedramp-Task", "a b"}, "bad_header"),
-        headers_with("long key", {"Idempotency-Key", long_text(201)}, "bad_header"),
+        headers_with("idempotency key too long", {"Idempotency-Key", long_text(201)}, "bad_header"),
         headers_with("empty idempotency key", {"Idempotency-Key", ""}, "bad_header"),
         headers_with("control character", {"Idempotency-Key", "a\tb"}, "bad_header"),
-        headers_with("forged session", {session, "abc.def"}, "bad_session_token"),
-        headers_with("long session", {session, long_text(5000)}, "bad_session_token"),
+        headers_with("forged session token", {session, "abc.def"}, "bad_session_token"),
+        headers_with("session token too long", {session, long_text(5000)}, "bad_session_token"),
         path_with("GET", "/nothing", 404, "unknown_path"),
         path_with("GET", "/v1/chat/completions", 405, "method_not_allowed"),
         path_with("DELETE", "/v1/models", 405, "method_not_allowed"),
@@ -141,7 +144,7 @@
 
 } // namespace
 
-TEST_CASE("bad input gets a coded answer, and nothing runs", "[callers_api]")
+TEST_CASE("invalid input gets a problem response, and nothing runs", "[callers_api]")
 {
     for (const auto& row : bad_inputs()) {
         INFO(row.name);
@@ -159,7 +162,7 @@
     }
 }
 
-TEST_CASE("a session token is bound to organisation, model and version", "[callers_api]")
+TEST_CASE("a session token is bound to its organisation, model and version", "[callers_api]")
 {
     core_fixture test;
     const auto token = test.session_token("s1");
@@ -203,7 +206,10 @@
     CHECK(test.run(0).request.version.value() == "s2");
 }
 
-TEST_CASE("limits, room for bills and readiness refuse before anything is sent", "[callers_api]")
+TEST_CASE(
+    "exceeded limits, a full bill buffer and a missing configuration refuse before anything is "
+    "sent",
+    "[callers_api]")
 {
     core_fixture test;
     test.limit = common::make_error(common::result_code::limit_tokens);
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -26,7 +26,7 @@
     return answer;
 }
 
-/// What an agent says that took the lost connection for a caller that left.
+/// The outcome reported by an agent that took the connection loss for a caller that disconnected.
 auto cancelled_as(outcome_state state) -> messages::outcome_answer
 {
     auto answer = outcome_of(state);
@@ -41,43 +41,48 @@
 
 } // namespace
 
-// The caller of a service waits; the connection to the agent is lost with the answer on it.
-// The entry asks the agent, which refuses what it does not know. Only that refusal, or a request
-// that may run twice, allows a second run; else the caller would get a doubled note.
-TEST_CASE("a lost answer is asked about", "[faults]")
+// The connection to the agent is lost while a response is in transit. The entry queries the agent
+// for the outcome, and the agent refuses a key that it doesn't know. A second run is allowed only
+// after that refusal or for an idempotent request; otherwise a note could be created twice.
+TEST_CASE("the outcome of a lost attempt is queried", "[faults]")
 {
     struct row {
         std::string name;
         std::string method;
         std::optional<common::result<messages::outcome_answer>> outcome;
         std::size_t runs;
-        /// Empty if the answer "kept" comes through.
+        /// Empty if the response "kept" is passed on.
         std::string problem;
         std::string execution;
     };
 
     const std::vector<row> rows{
-        {"it had finished", "POST", outcome_of(outcome_state::finished), 1, "", ""},
-        {"it was refused", "POST", outcome_of(outcome_state::refused), 2, "", ""},
-        {"it had failed", "POST", outcome_of(outcome_state::failed), 1, "server_lost", "ran"},
-        {"it goes on", "POST", outcome_of(outcome_state::running), 1, "outcome_unknown", "unknown"},
-        {"no agent", "POST", std::nullopt, 1, "outcome_unknown", "unknown"},
-        {"a new agent",
+        {"finished", "POST", outcome_of(outcome_state::finished), 1, "", ""},
+        {"refused", "POST", outcome_of(outcome_state::refused), 2, "", ""},
+        {"failed", "POST", outcome_of(outcome_state::failed), 1, "server_lost", "ran"},
+        {"still running",
+         "POST",
+         outcome_of(outcome_state::running),
+         1,
+         "outcome_unknown",
+         "unknown"},
+        {"agent unreachable", "POST", std::nullopt, 1, "outcome_unknown", "unknown"},
+        {"agent restarted",
          "POST",
          common::failure(result_code::wrong_incarnation),
          1,
          "outcome_unknown",
          "unknown"},
         {"cancelled before it ran", "POST", cancelled_as(outcome_state::refused), 2, "", ""},
-        {"cancelled in its run",
+        {"cancelled while running",
          "POST",
          cancelled_as(outcome_state::failed),
          1,
          "server_lost",
          "ran"},
-        {"cancelled, may run twice", "GET", cancelled_as(outcome_state::failed), 2, "", ""},
-        {"no agent, may run twice", "GET", std::nullopt, 2, "", ""},
-        {"it goes on, may run twice", "GET", outcome_of(outcome_state::running), 2, "", ""},
+        {"cancelled, idempotent", "GET", cancelled_as(outcome_state::failed), 2, "", ""},
+        {"agent unreachable, idempotent", "GET", std::nullopt, 2, "", ""},
+        {"still running, idempotent", "GET", outcome_of(outcome_state::running), 2, "", ""},
     };
     for (const auto& row : rows) {
         INFO(row.name);
@@ -103,9 +108,10 @@
     }
 }
 
-// An agent refuses with its hint, or can't be connected to. Nothing ran, so the entry tries others,
-// and when it gives up the caller hears so at once, truly `not_run` and with a time to come back.
-TEST_CASE("refusals are tried elsewhere, then told at once", "[faults]")
+// Agents refuse with a retry delay or can't be reached. Nothing has run, so the entry tries the
+// other servers. When all have refused, the caller gets the error immediately, with `not_run` and
+// the retry time.
+TEST_CASE("refused requests are tried on other servers, then refused immediately", "[faults]")
 {
     core_fixture test;
     const auto start = test.time.now();
@@ -122,8 +128,9 @@
     CHECK(test.settled.requests == 0.0);
 }
 
-// One attempt of an idempotent call may have run, then all others refuse. `not_run` would be a lie.
-TEST_CASE("one unknown attempt makes the whole unknown", "[faults]")
+// One attempt of an idempotent call may have run, then all other servers refuse. Reporting
+// `not_run` would be wrong.
+TEST_CASE("one attempt of unknown outcome makes the request's execution unknown", "[faults]")
 {
     core_fixture test;
     const auto caller = test.service("GET");
@@ -135,9 +142,10 @@
     CHECK(caller->execution() == "unknown");
 }
 
-// A chat's first attempt fails after it has begun; then its versions are withdrawn one after the
-// other, and no version is left to choose. The choice has seen no attempt; the request ran.
-TEST_CASE("a refusal by a filter that runs again counts the attempts before", "[faults]")
+// The first attempt of a chat fails after it has started. Then its versions are withdrawn one after
+// the other, until none can be chosen. The version filter knows no attempt, but the request has
+// run.
+TEST_CASE("a refusal by a filter that runs again takes earlier attempts into account", "[faults]")
 {
     core_fixture test;
     const auto caller = test.chat();
@@ -149,10 +157,10 @@
     CHECK(caller->execution() == "ran");
 }
 
-// A caller reads a stream; its engine is lost twice in the middle. Another server of the same
-// version goes on after the sent tokens; what the lost ones send late, or twice, is dropped. The
-// caller sees each token once, and the bill has a line for each attempt.
-TEST_CASE("a lost engine is replaced in mid-stream", "[faults]")
+// The engine of a stream is lost twice. Another server of the same version continues after the
+// tokens already sent; late or repeated tokens of the lost engines are dropped. The caller receives
+// each token once, and the bill has a line for each attempt.
+TEST_CASE("a stream continues on another server when its engine is lost", "[faults]")
 {
     core_fixture test;
     const auto caller = test.chat(streamed);
@@ -179,9 +187,9 @@
     CHECK(test.bills[0].lines[1].used.completion_tokens.value() == 2);
 }
 
-// Tokens are missing in the middle of a stream. Passing on the rest would look whole; the attempt
-// is ended instead and another server goes on from the gap.
-TEST_CASE("a gap is never passed on", "[faults]")
+// Tokens are missing in the middle of a stream. Passing on the rest would look like a complete
+// response, so the attempt is cancelled and another server continues from the gap.
+TEST_CASE("tokens after a gap are never passed on", "[faults]")
 {
     core_fixture test;
     const auto caller = test.chat(streamed);
@@ -195,9 +203,9 @@
     CHECK(caller->is_whole_stream());
 }
 
-// Nobody can go on with a stream: no other server, or more text than is kept for it. The caller
-// gets an explicit error event, and never the end mark that would make the answer look whole.
-TEST_CASE("a stream that can not go on ends with an error event", "[faults]")
+// No server can continue a stream: there is no other one, or more text was sent than is kept. The
+// caller gets an error event and never the end marker of a complete response.
+TEST_CASE("a stream that can't be continued ends with an error event", "[faults]")
 {
     for (const auto text_limit : {std::size_t{1000}, std::size_t{4}}) {
         core_fixture test;
@@ -218,10 +226,11 @@
     }
 }
 
-// Two copies of a request come with one key. The claim decides: the earlier one's kept answer,
-// `still_running`, another body, or no claim at all. None of these sends anything, and a kept
-// answer is billed under the first copy's id, so that readers count it once.
-TEST_CASE("a key that is taken sends nothing", "[faults]")
+// A second copy of a request arrives with the same key. The claim yields the stored response of the
+// first copy, `still_running`, a conflict with another body, or no decision. In none of these cases
+// is anything dispatched. A stored response is billed under the first copy's id, so that readers
+// count it once.
+TEST_CASE("a request whose key is already claimed is not dispatched", "[faults]")
 {
     messages::claim_request holder;
     holder.request = {7, 7};
@@ -270,9 +279,10 @@
     }
 }
 
-// The claim names the agent. When that agent refuses, the next try needs a second claim that
-// replaces the first, before anything is sent; else a retry elsewhere would not find this run.
-TEST_CASE("a claim comes before each try", "[faults]")
+// A claim names the target agent. When that agent refuses, the next attempt needs a second claim
+// that replaces the first before anything is sent. Otherwise a retry through another entry would
+// not find this run.
+TEST_CASE("each attempt is claimed before it is sent", "[faults]")
 {
     core_fixture test;
     const auto caller = test.service("POST", key_header());
@@ -287,15 +297,15 @@
     test.run(1).finish("kept");
     CHECK(caller->body == "kept");
 
-    // With the log down, what may run twice goes on without a claim.
+    // While the log is down, an idempotent request proceeds without a claim.
     test.claim_result = claims::claim_refused{common::make_error(result_code::claims_unavailable)};
     test.service("GET", key_header());
     CHECK(test.runs.size() == 3);
 }
 
-// A version is withdrawn while a session is open on it, seen first by the entry or only by the
-// agent. The session ends with a true `not_run`; a request without a session takes another version.
-TEST_CASE("a withdrawn version takes no new work", "[faults]")
+// A version is withdrawn while a session is open on it, which the entry or only the agent has
+// learned. The session ends with `not_run`; a request without a session uses another version.
+TEST_CASE("a withdrawn version gets no new work", "[faults]")
 {
     core_fixture test;
     const auto token = test.session_token("s2");
@@ -319,9 +329,9 @@
     CHECK(test.run(3).request.version.value() == "s1");
 }
 
-// The configuration is too old to know whether a sensitive version may serve. New sessions go to
-// what is stable; a session that is pinned to it goes on.
-TEST_CASE("a stale configuration opens nothing new on a sensitive version", "[faults]")
+// The configuration is too old to tell whether a sensitive version may serve. New requests use
+// versions that are not sensitive; a session already pinned to the sensitive version continues.
+TEST_CASE("with a stale configuration, a sensitive version gets no new requests", "[faults]")
 {
     core_fixture test;
     test.change([](auto& state) { state.versions[common::version_id("s2")].sensitive = true; });
@@ -339,7 +349,8 @@
     CHECK(named->problem_name() == "stale_configuration");
 }
 
-// A session's version has no server for a while. It waits, since it can't move, and is then served.
+// The version of a session has no server for a while. The request waits, since a session can't move
+// to another version, and is then served.
 TEST_CASE("a session waits for a server of its version", "[faults]")
 {
     core_fixture test;
@@ -353,9 +364,9 @@
     CHECK(test.runs.size() == 1);
 }
 
-// The caller's deadline passes while an agent is silent. The answer comes then, not later, and
-// says `unknown`; the run is cancelled and billed by what the agent says it used.
-TEST_CASE("a deadline ends a request once", "[faults]")
+// The caller's deadline passes while an agent is silent. The caller gets its error then, with
+// `unknown`; the run is cancelled and billed with the usage that the agent reports.
+TEST_CASE("a request is answered once when its deadline passes", "[faults]")
 {
     core_fixture test;
     test.outcome = outcome_of(outcome_state::failed);
@@ -371,9 +382,9 @@
     CHECK(test.bills[0].lines[0].used.completion_tokens.value() == 2);
 }
 
-// A caller stops reading. The source is paused once the backlog is high and goes on when it has
-// been sent, so that memory stays bounded; one that never reads is cut.
-TEST_CASE("a slow caller holds its source back", "[faults]")
+// A caller stops reading. The run is paused while the backlog is high and resumed when it has been
+// sent, so that memory stays bounded. A caller that never reads is disconnected.
+TEST_CASE("a slow caller causes backpressure on its run", "[faults]")
 {
     core_fixture test;
     test.options.backlog_high_bytes = 400;
@@ -395,9 +406,9 @@
     CHECK(test.subject->counters().in_flight == 0);
 }
 
-// The caller closes its connection. The engine's run is cancelled at once, and the request is
+// The caller closes its connection. The engine's run is cancelled immediately, and the request is
 // billed once.
-TEST_CASE("a caller that leaves cancels its run", "[faults]")
+TEST_CASE("a disconnected caller's run is cancelled", "[faults]")
 {
     core_fixture test;
     const auto caller = test.chat(streamed);
@@ -411,9 +422,9 @@
     CHECK(test.bills[0].lines[0].used.completion_tokens.value() == 3);
 }
 
-// An entry has its configuration before it has seen its servers in the list of hosts. The balancer
-// must not send it requests yet, since it could place none of them; what comes all the same is
-// still answered, and readiness follows as soon as the servers are known.
+// An entry has read its configuration but not yet seen its servers in the host list. It must not be
+// ready, since it could not place requests. Requests that arrive nevertheless are answered, and the
+// entry becomes ready once the servers are known.
 TEST_CASE("an entry that knows no servers is not ready", "[faults]")
 {
     core_fixture test;
@@ -426,10 +437,10 @@
     CHECK(test.call({"GET", "/health/ready", {}, "", {}})->head.status == 200);
 }
 
-// An entry shuts down during two streams. Readiness is off at once; a stream finishes whole, and so
-// does a request that comes late on an open connection. What is left at the deadline is cut with an
-// error event and counted, and from then on all is refused `not_run`.
-TEST_CASE("a graceful shutdown lets requests finish until its deadline", "[faults]")
+// An entry shuts down during two streams. It stops being ready immediately; a stream completes, and
+// so does a request that arrives on an open connection. Requests still in flight at the deadline
+// are aborted with an error event and counted, and later ones are refused with `not_run`.
+TEST_CASE("a graceful shutdown lets requests complete until its deadline", "[faults]")
 {
     core_fixture test;
     const auto first = test.chat(streamed);
@@ -458,8 +469,8 @@
     CHECK(test.bills.size() == 3);
 }
 
-// All servers refuse everything. Retries stop at the budget, so that the overload does not grow by
-// the number of attempts.
+// All servers refuse all requests. The retry budget bounds the retries, so that they don't multiply
+// the overload.
 TEST_CASE("retries stay within the budget", "[faults]")
 {
     core_fixture test;
@@ -477,7 +488,7 @@
         budget.most_saved + budget.retries_per_first_try * calls);
 }
 
-TEST_CASE("a second attempt needs a proof or a request that may run twice", "[recovery]")
+TEST_CASE("a retry requires proof that nothing ran, or an idempotent request", "[recovery]")
 {
     using messages::repeat_rule;
     const auto now = common::time_point(std::chrono::seconds(100));
--- a/source/unit_tests/entry/core_fixture.cpp
+++ b/source/unit_tests/entry/core_fixture.cpp
@@ -50,7 +50,7 @@
 
 auto fake_caller::on_disconnect(std::function<auto()->void> action) -> void
 {
-    this->left = std::move(action);
+    this->disconnected = std::move(action);
 }
 
 auto fake_caller::drain() -> void
@@ -63,7 +63,7 @@
 
 auto fake_caller::leave() -> void
 {
-    this->left();
+    this->disconnected();
 }
 
 auto fake_caller::problem_field(const char* name) const -> std::string
--- a/source/unit_tests/entry/core_fixture.hpp
+++ b/source/unit_tests/entry/core_fixture.hpp
@@ -12,10 +12,10 @@
 #include "messages/channel.hpp"
 #include "platform/fake_time.hpp"
 
-/// A core with fakes at its interfaces, on virtual time.
+/// A core with fakes behind its hooks, on virtual time.
 namespace reedramp::entry::test {
 
-/// Keeps what the caller got.
+/// A responder that records what the caller receives.
 class fake_caller final : public http::responder {
 public:
     auto send(http::response answer) -> void override;
@@ -29,19 +29,20 @@
     auto when_drained(std::size_t low_water, std::function<auto()->void> action) -> void override;
     auto on_disconnect(std::function<auto()->void> action) -> void override;
 
-    /// The socket takes everything.
+    /// Empties the backlog, as if the socket had sent everything.
     auto drain() -> void;
     auto leave() -> void;
 
-    /// Code and execution of the problem, in an answer or in the error event of a stream.
+    /// Result code name and execution state of the problem object, taken from a response or from
+    /// the error event of a stream.
     [[nodiscard]] auto problem_name() const -> std::string;
     [[nodiscard]] auto execution() const -> std::string;
     [[nodiscard]] auto header(std::string_view name) const -> std::string;
-    /// Text of all pieces of the stream.
+    /// Text of all chunks of the stream.
     [[nodiscard]] auto streamed_text() const -> std::string;
     [[nodiscard]] auto is_whole_stream() const -> bool;
 
-    /// Answers that were begun; more than one is a defect.
+    /// Number of responses that were started; more than one is a defect.
     int answers = 0;
     bool finished = false;
     bool aborted = false;
@@ -54,7 +55,7 @@
     [[nodiscard]] auto problem_field(const char* name) const -> std::string;
 
     std::function<auto()->void> drained;
-    std::function<auto()->void> left;
+    std::function<auto()->void> disconnected;
 };
 
 class fake_run final : public messages::run_handle {
@@ -65,7 +66,7 @@
 
     auto resume() -> void override { this->paused = false; }
 
-    /// Sends tokens "t<first> ..." of the whole answer.
+    /// Emits the tokens with these indexes, with the text of `token_text`.
     auto tokens(std::uint64_t first, std::uint32_t count) const -> void;
     auto finish(std::string text = "done", std::uint64_t completion_tokens = 1) const -> void;
     auto refuse(common::result_code code, common::duration retry_after = {}) const -> void;
@@ -78,10 +79,10 @@
     bool paused = false;
 };
 
-/// Text of the tokens from `first` to before `end`.
+/// Text of the tokens from `first` up to, but not including, `end`.
 auto token_text(std::uint64_t first, std::uint64_t end) -> std::string;
 
-/// An engine's whole answer with this text.
+/// The complete response of an engine with this text.
 auto chat_body(const std::string& text) -> std::string;
 
 struct sent_outcome_query {
@@ -89,9 +90,9 @@
     messages::outcome_query query;
 };
 
-/// Organisation "org" with key "key": model "small" with version "s1" (dear) and "s2" (cheap),
-/// service "notes" (GET is idempotent); organisation "other" with key "other-key" and model "big"
-/// with version "b1". Servers "a", "b" and "c" serve everything.
+/// Organisation "org" with key "key": model "small" with versions "s1" (expensive) and "s2"
+/// (cheap), and service "notes", whose GET is idempotent. Organisation "other" with key
+/// "other-key": model "big" with version "b1". Servers "a", "b" and "c" serve everything.
 class core_fixture {
 public:
     core_fixture();
@@ -102,9 +103,9 @@
     auto service(const std::string& method, std::vector<http::header> headers = {})
         -> std::shared_ptr<fake_caller>;
 
-    /// A token of a session of "org" on this version.
+    /// A session token of "org" pinned to this version.
     auto session_token(const std::string& version) -> std::string;
-    /// Changes the configuration in force.
+    /// Publishes a changed configuration.
     auto change(const std::function<auto(inventory::state& state)->void>& edit) -> void;
 
     [[nodiscard]] auto run(std::size_t index) const -> fake_run& { return *this->runs.at(index); }
@@ -112,11 +113,11 @@
     platform::fake_time time;
     std::vector<std::shared_ptr<fake_run>> runs;
     std::vector<sent_outcome_query> outcome_queries;
-    /// What agents say when asked; unset: `peer_unavailable`.
+    /// Answer of the agents to outcome queries; if unset, `peer_unavailable`.
     std::optional<common::result<messages::outcome_answer>> outcome;
     std::vector<messages::bill> bills;
     std::vector<common::server_id> servers;
-    /// How claims end; unset: granted.
+    /// Result of claims; if unset, they are granted.
     std::optional<claims::claim_result> claim_result;
     std::vector<messages::claim_request> claims;
     bool accepts_bills = true;
@@ -125,14 +126,14 @@
     std::optional<common::error> limit;
     limits::amounts settled;
     core_options options;
-    /// Hashes of operators' keys.
+    /// SHA-256 hashes of the operators' keys.
     std::vector<std::string> operators;
     std::shared_ptr<core> subject;
 
-    /// Makes the core again, after a change of `options`.
+    /// Creates a new core; to be called after a change of `options` or `operators`.
     auto restart() -> void;
 
-    /// The fakes as the core gets them.
+    /// The hooks that connect the core to the fakes.
     auto hooks() -> core_hooks;
 
 private:
--- a/source/unit_tests/entry/core_threads_test.cpp
+++ b/source/unit_tests/entry/core_threads_test.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Runs actions on threads of its own, in any order; the agents and the callers' sockets.
+/// Runs actions in any order on its own threads, which stand for the agents and the callers'
+/// sockets.
 class workers {
 public:
     explicit workers(std::size_t count)
@@ -28,7 +29,7 @@
         this->changed.notify_one();
     }
 
-    /// Runs what is left and ends.
+    /// Runs the remaining actions, then joins the threads.
     auto join() -> void
     {
         {
@@ -65,7 +66,7 @@
     std::vector<std::thread> threads;
 };
 
-/// A caller that only counts; its calls come from several threads, one at a time.
+/// A responder that counts the ended responses. It is called from several threads, one at a time.
 class counting_caller final : public http::responder {
 public:
     explicit counting_caller(std::atomic<int>& total) : ended(total) {}
@@ -88,10 +89,10 @@
 
     auto on_disconnect(std::function<auto()->void> action) -> void override
     {
-        this->left = std::move(action);
+        this->disconnected = std::move(action);
     }
 
-    std::function<auto()->void> left;
+    std::function<auto()->void> disconnected;
 
 private:
     std::atomic<int>& ended;
@@ -99,9 +100,10 @@
 
 } // namespace
 
-// Callers, agents and disconnects act from different threads at once. Each request must still be
-// answered or left once, and billed once. Run under TSan, it shows state touched by two threads.
-TEST_CASE("requests are answered and billed once under several threads", "[threads]")
+// Callers, agents and disconnects act concurrently on different threads. Each request must be
+// answered at most once and billed exactly once. Under TSan, the test also detects unsynchronised
+// access.
+TEST_CASE("requests are answered and billed once on several threads", "[threads]")
 {
     constexpr int callers = 4;
     constexpr int calls = 200;
@@ -134,7 +136,7 @@
     const auto subject = core::create({}, hooks, {});
     std::vector<std::thread> threads;
     threads.reserve(callers);
-    std::atomic<int> left{0};
+    std::atomic<int> disconnects{0};
     for (int index = 0; index < callers; ++index) {
         threads.emplace_back([&] {
             for (int call = 0; call < calls; ++call) {
@@ -147,8 +149,8 @@
                      {}},
                     caller);
                 if (call % 4 == 0) {
-                    agents.post(caller->left);
-                    ++left;
+                    agents.post(caller->disconnected);
+                    ++disconnects;
                 }
             }
         });
@@ -158,7 +160,7 @@
     }
     agents.join();
     CHECK(ended <= callers * calls);
-    CHECK(ended >= callers * calls - left);
+    CHECK(ended >= callers * calls - disconnects);
     CHECK(bills == callers * calls);
     CHECK(subject->counters().in_flight == 0);
 }
--- a/source/unit_tests/entry/placer_test.cpp
+++ b/source/unit_tests/entry/placer_test.cpp
@@ -34,7 +34,9 @@
     return row;
 }
 
-/// Servers "a", "b" and "c", which answer probes at once, after a while, or never.
+/// Servers "a", "b" and "c", which answer probes immediately, with a failure (`unreachable`), or
+/// never
+/// (`silent`).
 class fixture {
 public:
     fixture()
@@ -74,8 +76,8 @@
     std::shared_ptr<membership::view> members = std::make_shared<membership::view>();
     std::shared_ptr<placer> subject;
     std::map<std::string, std::uint32_t> in_flight{{"a", 9}, {"b", 0}, {"c", 9}};
-    std::map<std::string, std::uint64_t> lives{{"a", 1}, {"b", 2}, {"c", 3}};
-    std::set<std::string> dead;
+    std::map<std::string, std::uint64_t> incarnations{{"a", 1}, {"b", 2}, {"c", 3}};
+    std::set<std::string> unreachable;
     std::set<std::string> silent;
     std::size_t probes = 0;
 
@@ -87,13 +89,13 @@
         if (this->silent.contains(to)) {
             return;
         }
-        if (this->dead.contains(to)) {
+        if (this->unreachable.contains(to)) {
             done(common::failure(common::result_code::peer_unavailable));
             return;
         }
         messages::probe_answer answer;
         answer.server = common::server_id(to);
-        answer.incarnation = common::incarnation_id(this->lives.at(to));
+        answer.incarnation = common::incarnation_id(this->incarnations.at(to));
         answer.serves_version = true;
         answer.in_flight = this->in_flight.at(to);
         answer.estimated_wait = std::chrono::milliseconds(10 * this->in_flight.at(to));
@@ -105,7 +107,7 @@
 
 } // namespace
 
-TEST_CASE("a placement names server, address and life", "[placer]")
+TEST_CASE("a placement gives the server, its address and its incarnation", "[placer]")
 {
     fixture test;
     std::map<std::string, int> chosen;
@@ -115,14 +117,14 @@
         REQUIRE(found->has_value());
         const auto& name = (*found)->server.value();
         CHECK((*found)->address.value() == name);
-        CHECK((*found)->incarnation.value() == test.lives.at(name));
+        CHECK((*found)->incarnation.value() == test.incarnations.at(name));
         ++chosen[name];
         test.time.run_for(std::chrono::milliseconds(200));
     }
     CHECK(chosen["b"] > 15);
 }
 
-TEST_CASE("young answers spare a request the wait for its probes", "[placer]")
+TEST_CASE("a request doesn't wait for its probes while recent answers suffice", "[placer]")
 {
     fixture test;
     test.place();
@@ -136,12 +138,12 @@
     CHECK(test.time.now() > before + std::chrono::milliseconds(200));
 }
 
-// Two servers are dead, one does not answer. A request whose probes fail is placed on what is left
-// or told `no_capacity` with a time; it is never sent to a server whose life nobody knows.
-TEST_CASE("dead, silent and tried servers get nothing", "[placer]")
+// Probes of two servers fail. A request is placed on the third one or refused with `no_capacity`
+// and a retry time. It is never sent to a server whose incarnation is not known.
+TEST_CASE("failed, silent and already tried servers are not chosen", "[placer]")
 {
     fixture test;
-    test.dead = {"a", "c"};
+    test.unreachable = {"a", "c"};
     for (int count = 0; count < 5; ++count) {
         const auto found = test.place();
         REQUIRE(found.has_value());
@@ -155,22 +157,22 @@
     CHECK(none->error().code == common::result_code::no_capacity);
     CHECK(none->error().retry_at > test.time.now() - std::chrono::seconds(2));
 
-    fixture unheard;
-    unheard.silent = {"a", "b", "c"};
-    const auto unknown = unheard.place();
-    unheard.time.run_for(std::chrono::seconds(10));
+    fixture all_silent;
+    all_silent.silent = {"a", "b", "c"};
+    const auto unknown = all_silent.place();
+    all_silent.time.run_for(std::chrono::seconds(10));
     CHECK((!unknown || !unknown->has_value()));
 }
 
-// An agent is replaced. The request that named its predecessor is refused; the next one must name
-// the new life, or it would be refused for ever.
-TEST_CASE("a replaced agent's new life is asked for", "[placer]")
+// An agent is replaced. A request for the previous incarnation is refused; the next one must name
+// the new incarnation, or the server would refuse all requests.
+TEST_CASE("the new incarnation of a replaced agent is probed", "[placer]")
 {
     fixture test;
-    test.dead = {"a", "c"};
+    test.unreachable = {"a", "c"};
     test.place();
     test.place();
-    test.lives["b"] = 20;
+    test.incarnations["b"] = 20;
     attempt_report report;
     report.server = common::server_id("b");
     report.incarnation = common::incarnation_id(2);
--- a/source/unit_tests/entry/version_policy_test.cpp
+++ b/source/unit_tests/entry/version_policy_test.cpp
@@ -19,7 +19,8 @@
     state.versions[version.id] = version;
 }
 
-/// Model "m" with versions "old" and "dear"; "new" is rolled out in place of "old".
+/// Model "m" with versions "old" and "dear" (expensive); "new" is being rolled out to replace
+/// "old".
 auto make_state() -> inventory::state
 {
     inventory::state state;
@@ -42,7 +43,7 @@
     return state;
 }
 
-auto ask(const std::string& model, std::uint64_t number) -> version_query
+auto make_query(const std::string& model, std::uint64_t number) -> version_query
 {
     version_query query;
     query.request = {number, number * 0x9e3779b97f4a7c15ULL};
@@ -62,7 +63,7 @@
     shares found;
     for (int number = 0; number < questions; ++number) {
         const auto decision =
-            subject.choose(state, ask("m", static_cast<std::uint64_t>(number)), 1.0);
+            subject.choose(state, make_query("m", static_cast<std::uint64_t>(number)), 1.0);
         REQUIRE(decision.has_value());
         ++found[decision->version.value()];
     }
@@ -71,7 +72,8 @@
 
 } // namespace
 
-TEST_CASE("a roll-out gets its share of what it replaces, by status", "[version_policy]")
+TEST_CASE(
+    "a roll-out gets its share of the replaced version's requests, by status", "[version_policy]")
 {
     struct row {
         std::string name;
@@ -94,7 +96,7 @@
          [](auto& state) { state.withdrawn_early.insert(common::version_id("new")); },
          0,
          0},
-        {"old one withdrawn",
+        {"old version withdrawn",
          [](auto& state) { state.withdrawn_early.insert(common::version_id("old")); },
          1000,
          1000},
@@ -111,35 +113,37 @@
     }
 }
 
-TEST_CASE("a request stays on its side of a share", "[version_policy]")
+TEST_CASE("a request is always on the same side of a roll-out share", "[version_policy]")
 {
     version_policy subject({});
     const auto state = make_state();
     for (std::uint64_t number = 0; number < 50; ++number) {
-        const auto first = subject.choose(state, ask("m", number), 1.0);
-        const auto second = subject.choose(state, ask("m", number), 1.0);
+        const auto first = subject.choose(state, make_query("m", number), 1.0);
+        const auto second = subject.choose(state, make_query("m", number), 1.0);
         CHECK(first->version == second->version);
     }
 }
 
-TEST_CASE("named versions, ceilings and refused versions bound the choice", "[version_policy]")
+TEST_CASE(
+    "named versions, price ceilings and refused versions restrict the choice", "[version_policy]")
 {
     version_policy subject({});
     const auto state = make_state();
-    CHECK(subject.choose(state, ask("new", 1), 1.0)->version.value() == "new");
-    const auto dear = subject.choose(state, ask("dear", 1), 1.0);
-    REQUIRE_FALSE(dear.has_value());
-    CHECK(dear.error().code == common::result_code::organisation_not_allowed);
-    auto query = ask("old", 1);
+    CHECK(subject.choose(state, make_query("new", 1), 1.0)->version.value() == "new");
+    const auto expensive = subject.choose(state, make_query("dear", 1), 1.0);
+    REQUIRE_FALSE(expensive.has_value());
+    CHECK(expensive.error().code == common::result_code::organisation_not_allowed);
+    auto query = make_query("old", 1);
     query.refused = {common::version_id("old")};
     const auto refused = subject.choose(state, query, 1.0);
     REQUIRE_FALSE(refused.has_value());
     CHECK(refused.error().code == common::result_code::version_withdrawn);
 }
 
-// The new version of a roll-out gets low ratings, the old one good ones. This entry stops giving it
-// new work by its own evidence, before anything is in the log, and proposes the withdrawal.
-TEST_CASE("bad ratings end a roll-out's share", "[version_policy]")
+// The new version of a roll-out gets low ratings, the old one high ones. Based on its own evidence,
+// the entry stops sending requests to the new version before the log has any record of it, and
+// proposes the withdrawal.
+TEST_CASE("low ratings stop a roll-out", "[version_policy]")
 {
     version_policy subject({});
     const auto state = make_state();
