--- a/source/bench/cluster.cpp
+++ b/source/bench/cluster.cpp
@@ -80,10 +80,10 @@
     }
 
     [[nodiscard]] auto away(std::size_t from, const fake_server& server) const
-        -> placement::distance
+        -> placement::server_distance
     {
-        return server.data_centre == from ? placement::distance::same_data_centre
-                                          : placement::distance::same_region;
+        return server.data_centre == from ? placement::server_distance::same_data_centre
+                                          : placement::server_distance::same_region;
     }
 
     auto list_candidates() -> void
@@ -140,9 +140,10 @@
         }
     }
 
-    [[nodiscard]] auto place_request(const job_state& state) const -> placement::place_request
+    [[nodiscard]] auto placement_request(const job_state& state) const
+        -> placement::placement_request
     {
-        placement::place_request made;
+        placement::placement_request made;
         made.version = this->version_names[state.item.version];
         if (this->options.use_prefix || this->options.how == method::prefix_only) {
             made.prefix_hash = placement::affinity_hash(
@@ -186,7 +187,8 @@
         case method::round_robin:
             return known[entry.next_in_turn[state.item.version]++ % known.size()].server;
         case method::prefix_only:
-            return known[*placement::preferred(known, this->place_request(state).prefix_hash)]
+            return known[*placement::preferred_candidates(
+                             known, this->placement_request(state).prefix_hash)]
                 .server;
         case method::least_requests:
             return this->least_requested(entry, known);
@@ -219,12 +221,12 @@
         const auto hook = [this] {
             return this->engine();
         };
-        const auto request = this->place_request(state);
+        const auto request = this->placement_request(state);
         const auto& known = this->known_to(state.item);
         auto& pool = this->entries[state.item.entry]->pool;
         const auto plan =
             this->place_by.plan(request, known, pool, state.rounds++, this->now, hook);
-        if (!plan.ask.empty()) {
+        if (!plan.targets.empty()) {
             this->ask(number, plan);
             return;
         }
@@ -241,7 +243,7 @@
     {
         const auto& item = this->jobs[number].item;
         auto longest = common::duration(0);
-        for (const auto index : plan.ask) {
+        for (const auto index : plan.targets) {
             const auto server = this->numbers.at(this->known_to(item)[index].server);
             const auto way = this->trip(item, server);
             this->counts.probes += this->counted(item) ? 1 : 0;
@@ -249,7 +251,7 @@
             this->after(way, [this, number, server] { this->answer_probe(number, server); });
             longest = std::max(longest, 2 * way);
         }
-        this->after(std::min(longest, plan.place_at - this->now), [this, number] {
+        this->after(std::min(longest, plan.place_by - this->now), [this, number] {
             this->probe_or_place(number);
         });
     }
@@ -271,7 +273,7 @@
     {
         auto& state = this->jobs[number];
         if (state.tried.empty()) {
-            this->entries[state.item.entry]->budget.note_first_try();
+            this->entries[state.item.entry]->budget.record_first_attempt();
         }
         state.tried.push_back(server);
         state.server = server;
@@ -302,7 +304,8 @@
     {
         const auto& state = this->jobs[number];
         const auto tries = std::min(most_tries, this->known_to(state.item).size());
-        if (state.tried.size() < tries && this->entries[state.item.entry]->budget.take_retry()) {
+        if (state.tried.size() < tries &&
+            this->entries[state.item.entry]->budget.try_acquire_retry()) {
             this->route(number);
             return;
         }
@@ -321,7 +324,7 @@
         if (target.lost) {
             return;
         }
-        for (const auto& late : target.queue.take_hopeless(this->now)) {
+        for (const auto& late : target.queue.take_infeasible(this->now)) {
             this->try_again(late.key.request.low);
         }
         while (const auto next = target.queue.pop(this->now)) {
@@ -438,7 +441,7 @@
         for (const auto& server : this->servers) {
             for (auto& entry : this->entries) {
                 if (server->lost) {
-                    entry->pool.forget(server->id);
+                    entry->pool.remove_server(server->id);
                 }
             }
         }
@@ -453,7 +456,7 @@
 
     const shape& owner;
     const run_options& options;
-    placement::chooser place_by;
+    placement::server_selector place_by;
     arrivals source;
     std::mt19937_64 engine;
     common::time_point now;
--- a/source/bench/cluster.hpp
+++ b/source/bench/cluster.hpp
@@ -2,8 +2,8 @@
 
 #include <vector>
 
-#include "placement/chooser.hpp"
 #include "placement/probe_pool.hpp"
+#include "placement/server_selector.hpp"
 #include "workload.hpp"
 
 namespace reedramp::bench {
@@ -36,7 +36,7 @@
     bool first_come = false;
     /// Requests carry the hash of their prefix.
     bool use_prefix = false;
-    placement::chooser_settings chooser;
+    placement::server_selector_settings chooser;
     placement::probe_pool_settings pool;
     placement::fair_queue_settings queue;
 };
--- a/source/bench/exposure_bench.cpp
+++ b/source/bench/exposure_bench.cpp
@@ -9,7 +9,7 @@
 #include "control/rollout.hpp"
 #include "metric.hpp"
 #include "parts.hpp"
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 #include "users.hpp"
 
 namespace reedramp::bench {
@@ -98,7 +98,7 @@
           controller(control::rollout_options{})
     {
         for (int i = 0; i < whose.entries; ++i) {
-            this->sources.emplace_back(policy::guard_options{});
+            this->sources.emplace_back(policy::regression_detector_options{});
         }
         this->item.id = "r";
         this->item.from = common::version_id("old");
@@ -137,7 +137,7 @@
         this->deliver(now);
         const auto entry =
             static_cast<std::size_t>(this->chance() * static_cast<double>(this->sources.size()));
-        const bool is_new = policy::in_share(this->random(), this->item.share);
+        const bool is_new = policy::is_in_rollout_share(this->random(), this->item.share);
         const auto& acts = is_new ? this->scene.new_one : this->scene.old_one;
         const bool failed = this->chance() < acts.error_rate;
         const auto& version = is_new ? this->item.to : this->item.from;
@@ -288,7 +288,7 @@
 /// stop it: what the decision needs, and what arrives at the first share while ratings are late.
 auto least_exposed(const user& owner, const scenario& scene) -> double
 {
-    const policy::guard_options options;
+    const policy::regression_detector_options options;
     const double needed = -std::log(options.false_alarm);
     const double by_errors = error_growth(scene, options.error_slack);
     const double by_ratings = rating_growth(scene, options.rating_slack) * owner.returned;
--- a/source/bench/limits_bench.cpp
+++ b/source/bench/limits_bench.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "limits/share.hpp"
+#include "limits/shared_limiter.hpp"
 #include "metric.hpp"
 #include "parts.hpp"
 
@@ -52,8 +52,9 @@
             this->numbers.emplace(this->peers.back().host, number);
             // The balancer spreads evenly, but callers stay on their connections.
             this->weights.push_back(0.3 + this->unit(this->random));
-            this->keepers.push_back(std::make_unique<limits::share_keeper>(
-                limits::share_settings{this->peers[number].host, this->peers[number].data_centre},
+            this->keepers.push_back(std::make_unique<limits::shared_limiter>(
+                limits::shared_limiter_settings{
+                    this->peers[number].host, this->peers[number].data_centre},
                 seed * 1000 + number));
             this->keepers.back()->set_limits({{this->organisation, {what.limit, 0, 0}}});
         }
@@ -128,7 +129,7 @@
             if (!this->alive[from]) {
                 continue;
             }
-            for (const auto& report : this->keepers[from]->reports(this->now)) {
+            for (const auto& report : this->keepers[from]->make_reports(this->now)) {
                 const auto to = this->numbers.at(report.to);
                 if (this->hears(from, to)) {
                     const auto& host = this->peers[from].host;
@@ -169,7 +170,7 @@
     std::uniform_real_distribution<double> unit{0.0, 1.0};
     std::vector<limits::entry_peer> peers;
     std::unordered_map<common::host_id, std::size_t> numbers;
-    std::vector<std::unique_ptr<limits::share_keeper>> keepers;
+    std::vector<std::unique_ptr<limits::shared_limiter>> keepers;
     std::vector<double> weights;
     std::vector<bool> alive;
     bool is_split = false;
--- a/source/bench/placement_bench.cpp
+++ b/source/bench/placement_bench.cpp
@@ -8,7 +8,7 @@
 #include "cluster.hpp"
 #include "metric.hpp"
 #include "parts.hpp"
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 
 namespace reedramp::bench {
 
@@ -293,16 +293,16 @@
         for (std::size_t number = first; number < servers; number += versions) {
             const common::server_id server("engine-vienna-" + std::to_string(number));
             candidates[first].push_back(
-                placement::make_candidate(server, placement::distance::same_region));
+                placement::make_candidate(server, placement::server_distance::same_region));
         }
     }
     placement::probe_pool pool({});
-    const placement::chooser chooser({});
+    const placement::server_selector chooser({});
     sample nanoseconds;
     common::time_point now;
     for (std::size_t turn = 0; turn < turns; ++turn) {
         now += std::chrono::milliseconds(1);
-        placement::place_request request;
+        placement::placement_request request;
         policy::choice_input input;
         input.options = options;
         auto begin = std::chrono::steady_clock::now();
@@ -312,17 +312,17 @@
         const auto& known = candidates[0];
         const auto plan = chooser.plan(request, known, pool, 0, now, random);
         auto spent = std::chrono::steady_clock::now() - begin;
-        for (const auto index : plan.ask) {
+        for (const auto index : plan.targets) {
             messages::probe_answer answer;
             answer.server = known[index].server;
             answer.serves_version = true;
-            pool.add(request.version, answer, known[index].away, now);
+            pool.add(request.version, answer, known[index].distance, now);
         }
         begin = std::chrono::steady_clock::now();
         const auto more = chooser.plan(request, known, pool, 1, now, random);
         const auto placed = chooser.place(request, known, pool, now, random);
         spent += std::chrono::steady_clock::now() - begin;
-        if (more.ask.empty() && placed) {
+        if (more.targets.empty() && placed) {
             nanoseconds.push_back(static_cast<double>(spent.count()));
         }
     }
--- a/source/bench/policy_bench.cpp
+++ b/source/bench/policy_bench.cpp
@@ -8,7 +8,7 @@
 
 #include "metric.hpp"
 #include "parts.hpp"
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 #include "policy/quality.hpp"
 #include "users.hpp"
 
@@ -265,7 +265,7 @@
         }
         const auto chosen = std::ranges::find(options, made.key, &policy::option::key);
         const auto dearest = std::ranges::max(options, {}, &policy::option::expected_cost);
-        this->accounts[task].book(
+        this->accounts[task].update(
             chosen->quality, this->owner.tasks[task].target, dearest.expected_cost);
     }
 
@@ -296,7 +296,7 @@
     policy::quality_book book;
     std::vector<policy::option_key> keys;
     std::vector<double> costs;
-    std::array<policy::quality_account, 8> accounts;
+    std::array<policy::quality_price_controller, 8> accounts;
     std::deque<pending_rating> waiting;
 };
 
--- a/source/core/agent/engine_core_dispatch.cpp
+++ b/source/core/agent/engine_core_dispatch.cpp
@@ -37,7 +37,7 @@
     std::vector<run_ptr> hopeless;
     {
         const std::lock_guard guard(this->lock);
-        for (const auto& entry : this->queue.take_hopeless(this->hooks.now())) {
+        for (const auto& entry : this->queue.take_infeasible(this->hooks.now())) {
             const auto found = this->runs.find(entry.key);
             if (found != this->runs.end()) {
                 hopeless.push_back(found->second);
--- a/source/core/control/evidence_board.hpp
+++ b/source/core/control/evidence_board.hpp
@@ -9,7 +9,7 @@
 
 #include "common/ids.hpp"
 #include "messages/peer.hpp"
-#include "policy/guard.hpp"
+#include "policy/regression_detector.hpp"
 
 /// Controllers of shared state: roll-outs, orders to engines. Each is state + event + now ->
 /// actions.
--- a/source/core/control/evidence_source.cpp
+++ b/source/core/control/evidence_source.cpp
@@ -52,12 +52,12 @@
     return answer;
 }
 
-evidence_source::evidence_source(policy::guard_options chosen) : options(chosen) {}
+evidence_source::evidence_source(policy::regression_detector_options chosen) : options(chosen) {}
 
 auto evidence_source::account_of(const inventory::rollout& item) -> account&
 {
-    const auto made =
-        this->accounts.try_emplace(item.to, account{policy::evidence(this->options), {}, {}});
+    const auto made = this->accounts.try_emplace(
+        item.to, account{policy::regression_evidence(this->options), {}, {}});
     auto& found = made.first->second;
     found.old_counts.version = item.from;
     found.new_counts.version = item.to;
@@ -80,12 +80,12 @@
         counts.errors += run.failed ? 1 : 0;
         counts.slow += run.slow ? 1 : 0;
         if (is_new) {
-            found.bets.add_new(signal::error, as_number(run.failed));
-            found.bets.add_new(signal::slow, as_number(run.slow));
+            found.bets.add_candidate(signal::error, as_number(run.failed));
+            found.bets.add_candidate(signal::slow, as_number(run.slow));
             continue;
         }
-        found.bets.add_old(signal::error, as_number(run.failed));
-        found.bets.add_old(signal::slow, as_number(run.slow));
+        found.bets.add_baseline(signal::error, as_number(run.failed));
+        found.bets.add_baseline(signal::slow, as_number(run.slow));
     }
 }
 
@@ -104,10 +104,10 @@
         ++counts.ratings;
         counts.rating_sum += score;
         if (is_new) {
-            found.bets.add_new(policy::signal::rating, score);
+            found.bets.add_candidate(policy::signal::rating, score);
             continue;
         }
-        found.bets.add_old(policy::signal::rating, score);
+        found.bets.add_baseline(policy::signal::rating, score);
     }
 }
 
@@ -124,13 +124,13 @@
         const auto ratings = static_cast<double>(old_one.ratings);
         const auto requests = static_cast<double>(old_one.requests);
         if (ratings > 0) {
-            bets.use_pooled(signal::rating, old_one.rating_sum / ratings, ratings);
+            bets.set_pooled_baseline(signal::rating, old_one.rating_sum / ratings, ratings);
         }
         if (requests > 0) {
             const auto errors = static_cast<double>(old_one.errors);
             const auto slow = static_cast<double>(old_one.slow);
-            bets.use_pooled(signal::error, errors / requests, requests);
-            bets.use_pooled(signal::slow, slow / requests, requests);
+            bets.set_pooled_baseline(signal::error, errors / requests, requests);
+            bets.set_pooled_baseline(signal::slow, slow / requests, requests);
         }
     }
 }
--- a/source/core/control/evidence_source.hpp
+++ b/source/core/control/evidence_source.hpp
@@ -13,7 +13,7 @@
 #include "common/ids.hpp"
 #include "inventory/state.hpp"
 #include "messages/peer.hpp"
-#include "policy/guard.hpp"
+#include "policy/regression_detector.hpp"
 
 namespace reedramp::control {
 
@@ -52,7 +52,7 @@
 /// One entry's own evidence on each running roll-out. Safe for several threads.
 class evidence_source {
 public:
-    explicit evidence_source(policy::guard_options options);
+    explicit evidence_source(policy::regression_detector_options options);
 
     auto on_run(const inventory::state& current, const observed_run& run) -> void;
     auto on_rating(const inventory::state& current, const common::version_id& version, double score)
@@ -67,7 +67,7 @@
 
 private:
     struct account {
-        policy::evidence bets;
+        policy::regression_evidence bets;
         messages::version_evidence old_counts;
         messages::version_evidence new_counts;
     };
@@ -75,7 +75,7 @@
     auto account_of(const inventory::rollout& item) -> account&;
 
     mutable std::mutex lock;
-    policy::guard_options options;
+    policy::regression_detector_options options;
     std::map<common::version_id, account> accounts;
 };
 
--- a/source/core/control/rollout.cpp
+++ b/source/core/control/rollout.cpp
@@ -10,7 +10,7 @@
 
 constexpr common::permille full_share{1000};
 
-auto describe(const inventory::rollout& item, const policy::judgement& found) -> std::string
+auto describe(const inventory::rollout& item, const policy::evaluation& found) -> std::string
 {
     return "rollout=" + item.id + " version=" + item.to.value() +
            " step=" + std::to_string(item.step) + " against=" + std::to_string(found.log_against) +
@@ -68,7 +68,7 @@
         seen = {item.step, common::never};
     }
     const auto index = std::min<std::size_t>(item.step, this->options.steps.size() - 1);
-    const auto found = policy::judge(
+    const auto found = policy::evaluate(
         evidence.total_of(item.to), this->options.guard, this->options.steps[index].doubt);
     if (found.decision == policy::verdict::worse && this->alarms.insert(item.to).second) {
         common::log(
--- a/source/core/control/rollout.hpp
+++ b/source/core/control/rollout.hpp
@@ -12,7 +12,7 @@
 #include "common/units.hpp"
 #include "control/evidence_board.hpp"
 #include "inventory/state.hpp"
-#include "policy/guard.hpp"
+#include "policy/regression_detector.hpp"
 
 namespace reedramp::control {
 
@@ -31,7 +31,7 @@
 };
 
 struct rollout_options {
-    policy::guard_options guard;
+    policy::regression_detector_options guard;
     std::vector<rollout_step> steps;
     alarm_response on_alarm = alarm_response::withdraw;
     /// Processes propose in the order of their rank, this far apart, so that as a rule one does.
--- a/source/core/entry/attempt.cpp
+++ b/source/core/entry/attempt.cpp
@@ -101,7 +101,7 @@
 auto try_again(const exchange_ptr& item, const common::error& why) -> void
 {
     auto& context = *item->context;
-    if (!context.budget.take_retry()) {
+    if (!context.budget.try_acquire_retry()) {
         auto spent = common::make_error(common::result_code::retry_budget_spent);
         spent.detail = "after " + std::string(common::row_of(why.code).name);
         spent.run = why.run;
--- a/source/core/entry/collaborators.hpp
+++ b/source/core/entry/collaborators.hpp
@@ -12,7 +12,7 @@
 #include "common/result.hpp"
 #include "common/units.hpp"
 #include "inventory/state.hpp"
-#include "limits/share.hpp"
+#include "limits/shared_limiter.hpp"
 #include "messages/channel.hpp"
 #include "messages/peer.hpp"
 #include "messages/run.hpp"
--- a/source/core/entry/filter_dispatch.cpp
+++ b/source/core/entry/filter_dispatch.cpp
@@ -180,7 +180,7 @@
         return filter_step::stop;
     }
     if (attempt.number.value() == 0) {
-        context.budget.note_first_try();
+        context.budget.record_first_attempt();
         const auto every = context.options.rate_every;
         item->is_rated = context.parts.rate && item->kind == messages::work_kind::chat &&
                          every > 0 && context.parts.random() % every == 0;
--- a/source/core/entry/filter_open_session.cpp
+++ b/source/core/entry/filter_open_session.cpp
@@ -79,7 +79,7 @@
         refuse(item, common::make_error(common::result_code::claims_unavailable));
         return filter_step::stop;
     }
-    const auto name = session::claim_of_name(item->organisation, pin.session, item->model);
+    const auto name = session::make_name_claim(item->organisation, pin.session, item->model);
     messages::claim_request claim;
     claim.organisation = item->organisation;
     claim.key = name.key;
--- a/source/core/entry/placer.cpp
+++ b/source/core/entry/placer.cpp
@@ -18,15 +18,15 @@
 }
 
 auto distance_of(const membership::location& self, const membership::server_view& server)
-    -> placement::distance
+    -> placement::server_distance
 {
     if (server.data_centre == self.data_centre) {
-        return placement::distance::same_data_centre;
+        return placement::server_distance::same_data_centre;
     }
     if (server.region == self.region) {
-        return placement::distance::same_region;
+        return placement::server_distance::same_region;
     }
-    return placement::distance::other_region;
+    return placement::server_distance::other_region;
 }
 
 auto no_server(common::time_point retry_at) -> common::error
@@ -41,7 +41,7 @@
 /// One request that waits for probes.
 struct placer::pending {
     placement_question question;
-    placement::place_request request;
+    placement::placement_request request;
     candidate_ptr set;
     done_hook done;
     std::atomic<std::size_t> unanswered{0};
@@ -117,17 +117,17 @@
     item->done = std::move(done);
     const auto plan = this->chooser.plan(
         item->request, item->set->candidates, this->pool, 0, this->hooks.now(), this->hooks.random);
-    if (plan.ask.empty() || this->knows_enough(*item, plan)) {
+    if (plan.targets.empty() || this->knows_enough(*item, plan)) {
         this->decide(item);
     }
     else {
-        this->hooks.timer(plan.place_at, [weak = this->weak_from_this(), item] {
+        this->hooks.timer(plan.place_by, [weak = this->weak_from_this(), item] {
             if (const auto self = weak.lock()) {
                 self->decide(item);
             }
         });
     }
-    this->send_probes(item, plan.ask);
+    this->send_probes(item, plan.targets);
 }
 
 /// Waiting for the probes would add a trip to each request; at a high rate the answers to the
@@ -137,7 +137,7 @@
     const auto now = this->hooks.now();
     const auto least = now + this->settings.pool.lifetime - this->settings.young;
     const auto has_preferred = item.request.session_hash != 0 || item.request.prefix_hash != 0;
-    const auto& preferred = item.set->candidates[plan.ask.front()];
+    const auto& preferred = item.set->candidates[plan.targets.front()];
     auto knows_preferred = !has_preferred;
     std::size_t young = 0;
     for (const auto& probe : this->pool.fresh(item.request.version, now)) {
@@ -187,11 +187,11 @@
         item->rounds.fetch_add(1),
         this->hooks.now(),
         this->hooks.random);
-    if (more.ask.empty()) {
+    if (more.targets.empty()) {
         this->decide(item);
         return;
     }
-    this->send_probes(item, more.ask);
+    this->send_probes(item, more.targets);
 }
 
 auto placer::take_probe(
@@ -202,11 +202,11 @@
     const auto now = this->hooks.now();
     if (!answer) {
         this->members->failed(from.server, now);
-        this->pool.forget(from.server);
+        this->pool.remove_server(from.server);
         return;
     }
     this->members->probe_answered(*answer);
-    this->pool.add(version, *answer, from.away, now);
+    this->pool.add(version, *answer, from.distance, now);
 }
 
 auto placer::decide(const pending_ptr& item) -> void
@@ -291,7 +291,7 @@
     case attempt_end::never_sent:
     case attempt_end::lost:
         this->members->failed(report.server, this->hooks.now());
-        this->pool.forget(report.server);
+        this->pool.remove_server(report.server);
         return;
     }
 }
@@ -302,7 +302,7 @@
     for (const auto& status : this->members->statuses(now)) {
         if (status.server.rpc == address) {
             this->members->failed(status.server.server, now);
-            this->pool.forget(status.server.server);
+            this->pool.remove_server(status.server.server);
         }
     }
 }
--- a/source/core/entry/placer.hpp
+++ b/source/core/entry/placer.hpp
@@ -14,15 +14,15 @@
 #include "membership/subset.hpp"
 #include "membership/view.hpp"
 #include "messages/channel.hpp"
-#include "placement/chooser.hpp"
 #include "placement/probe_pool.hpp"
+#include "placement/server_selector.hpp"
 
 namespace reedramp::entry {
 
 struct placer_settings {
     membership::location self;
     membership::subset_config subset;
-    placement::chooser_settings chooser;
+    placement::server_selector_settings chooser;
     placement::probe_pool_settings pool;
     /// A request does not wait for its probes when this many answers are no older than `young`, and
     /// its preferred server is among them; its probes then serve the next requests.
@@ -101,7 +101,7 @@
     placer_hooks hooks;
     std::shared_ptr<membership::view> members;
     placement::probe_pool pool;
-    placement::chooser chooser;
+    placement::server_selector chooser;
     std::mutex lock;
     std::unordered_map<std::string, candidate_ptr> sets;
 };
--- a/source/core/entry/version_policy.cpp
+++ b/source/core/entry/version_policy.cpp
@@ -157,7 +157,7 @@
     const auto chosen = std::ranges::find(options, made.key, &policy::option::key);
     const auto dearest = std::ranges::max(options, {}, &policy::option::expected_cost);
     const std::lock_guard guard(this->lock);
-    this->accounts[key].book(chosen->quality, target, dearest.expected_cost);
+    this->accounts[key].update(chosen->quality, target, dearest.expected_cost);
 }
 
 auto version_policy::choose_among(
@@ -208,7 +208,7 @@
             continue;
         }
         if (this->rollouts.alarmed(item.to) ||
-            !policy::in_share(share_hash(question, id), item.share)) {
+            !policy::is_in_rollout_share(share_hash(question, id), item.share)) {
             continue;
         }
         decision.runner_up = item.from;
--- a/source/core/entry/version_policy.hpp
+++ b/source/core/entry/version_policy.hpp
@@ -18,7 +18,7 @@
 #include "inventory/state.hpp"
 #include "messages/peer.hpp"
 #include "platform/hooks.hpp"
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 #include "policy/quality.hpp"
 
 namespace reedramp::entry {
@@ -96,7 +96,7 @@
     control::evidence_board board;
     control::rollout_controller rollouts;
     std::mutex lock;
-    std::map<account_key, policy::quality_account> accounts;
+    std::map<account_key, policy::quality_price_controller> accounts;
 };
 
 } // namespace reedramp::entry
--- a/source/core/limits/ledger.cpp
+++ b/source/core/limits/organisation_limiter.cpp
@@ -1,4 +1,4 @@
-#include "limits/ledger.hpp"
+#include "limits/organisation_limiter.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -90,12 +90,12 @@
     this->counts = {};
 }
 
-ledger::ledger(common::organisation_id name, double phase)
+organisation_limiter::organisation_limiter(common::organisation_id name, double phase)
     : organisation(std::move(name)), credit(phase)
 {
 }
 
-auto ledger::admit(amounts expected, std::size_t listed, common::time_point now)
+auto organisation_limiter::admit(amounts expected, std::size_t listed, common::time_point now)
     -> common::result<void>
 {
     this->offered.add(expected);
@@ -124,7 +124,7 @@
     return {};
 }
 
-auto ledger::settle(amounts expected, amounts used) -> void
+auto organisation_limiter::reconcile(amounts expected, amounts used) -> void
 {
     const amounts difference{
         used.requests - expected.requests,
@@ -134,7 +134,7 @@
     this->admitted.add(difference);
 }
 
-auto ledger::close_period(common::time_point now) -> void
+auto organisation_limiter::close_period(common::time_point now) -> void
 {
     const auto begun = std::exchange(this->period_start, now);
     if (begun && now > *begun) {
@@ -144,7 +144,7 @@
     }
 }
 
-auto ledger::own_row() const -> messages::limit_demand
+auto organisation_limiter::own_row() const -> messages::limit_demand
 {
     const auto demand = this->offered.smoothed();
     const auto spent = this->admitted.last();
@@ -159,25 +159,25 @@
     return row;
 }
 
-auto ledger::keep_entry_row(
+auto organisation_limiter::keep_entry_row(
     const common::host_id& from, messages::limit_demand row, common::time_point expires) -> void
 {
     this->entry_rows[from] = {std::move(row), expires};
 }
 
-auto ledger::keep_data_centre_row(
+auto organisation_limiter::keep_data_centre_row(
     const common::data_centre_id& from, messages::limit_demand row, common::time_point expires)
     -> void
 {
     this->data_centre_rows[from] = {std::move(row), expires};
 }
 
-auto ledger::set_fleet(messages::limit_demand row, common::time_point expires) -> void
+auto organisation_limiter::set_fleet(messages::limit_demand row, common::time_point expires) -> void
 {
     this->total = kept_row{std::move(row), expires};
 }
 
-auto ledger::data_centre_row(common::time_point now) -> messages::limit_demand
+auto organisation_limiter::data_centre_row(common::time_point now) -> messages::limit_demand
 {
     std::erase_if(this->entry_rows, [now](const auto& item) { return item.second.expires < now; });
     messages::limit_demand sum;
@@ -190,7 +190,7 @@
     return sum;
 }
 
-auto ledger::fleet_row(common::time_point now) -> messages::limit_demand
+auto organisation_limiter::fleet_row(common::time_point now) -> messages::limit_demand
 {
     std::erase_if(
         this->data_centre_rows, [now](const auto& item) { return item.second.expires < now; });
@@ -202,7 +202,8 @@
     return sum;
 }
 
-auto ledger::fleet(common::time_point now) const -> std::optional<messages::limit_demand>
+auto organisation_limiter::fleet(common::time_point now) const
+    -> std::optional<messages::limit_demand>
 {
     if (!this->total || this->total->expires < now) {
         return std::nullopt;
@@ -210,7 +211,7 @@
     return this->total->row;
 }
 
-auto ledger::advance(std::size_t listed, common::time_point now) -> void
+auto organisation_limiter::advance(std::size_t listed, common::time_point now) -> void
 {
     const auto known = this->fleet(now);
     const auto last = std::exchange(this->advanced, now);
@@ -229,8 +230,8 @@
     }
 }
 
-auto ledger::part_of_demand(const messages::limit_demand& known, std::size_t listed) const
-    -> admitted_part
+auto organisation_limiter::part_of_demand(
+    const messages::limit_demand& known, std::size_t listed) const -> admitted_part
 {
     admitted_part least;
     const auto limits = this->limit.values();
@@ -251,7 +252,7 @@
     return least;
 }
 
-auto ledger::take_from_bucket(
+auto organisation_limiter::take_from_bucket(
     amounts expected, double share, double headroom, common::time_point now)
     -> std::optional<dimension>
 {
@@ -280,7 +281,7 @@
     return std::nullopt;
 }
 
-auto ledger::refusal(dimension binding, double part, common::time_point now) const
+auto organisation_limiter::refusal(dimension binding, double part, common::time_point now) const
     -> tl::unexpected<common::error>
 {
     constexpr std::array codes{
--- a/source/core/limits/ledger.hpp
+++ b/source/core/limits/organisation_limiter.hpp
@@ -42,11 +42,11 @@
 /// carried on as a balance and evened out, so that errors of the lagging total don't add up.
 /// Without a total the entry admits its fixed part of the limit, one by the number of listed
 /// entries: the parts of entries that cannot hear each other add up to the limit.
-class ledger {
+class organisation_limiter {
 public:
     /// `phase`, 0 to 1, is where the first admitted request of a thinned sequence lies. It differs
     /// between entries: else all of them would admit their first request, or none would.
-    ledger(common::organisation_id organisation, double phase);
+    organisation_limiter(common::organisation_id organisation, double phase);
 
     auto set_limits(amounts per_minute) -> void { this->limit = per_minute; }
 
@@ -54,7 +54,7 @@
     auto admit(amounts expected, std::size_t listed, common::time_point now)
         -> common::result<void>;
 
-    auto settle(amounts expected, amounts used) -> void;
+    auto reconcile(amounts expected, amounts used) -> void;
 
     /// Ends a period of counting; call it before `own_row`, every report period.
     auto close_period(common::time_point now) -> void;
--- a/source/core/limits/share.cpp
+++ b/source/core/limits/shared_limiter.cpp
@@ -1,4 +1,4 @@
-#include "limits/share.hpp"
+#include "limits/shared_limiter.hpp"
 
 #include <functional>
 #include <string>
@@ -40,29 +40,30 @@
 
 } // namespace
 
-share_keeper::share_keeper(share_settings initial, std::uint64_t initial_seed)
+shared_limiter::shared_limiter(shared_limiter_settings initial, std::uint64_t initial_seed)
     : settings(std::move(initial)), seed(initial_seed)
 {
     this->set_entries({});
 }
 
-auto share_keeper::set_limits(const std::map<common::organisation_id, amounts>& per_minute) -> void
+auto shared_limiter::set_limits(const std::map<common::organisation_id, amounts>& per_minute)
+    -> void
 {
-    this->ledgers.for_each_shard([&per_minute](auto& shard) {
+    this->limiters.for_each_shard([&per_minute](auto& shard) {
         std::erase_if(
             shard, [&per_minute](const auto& item) { return !per_minute.contains(item.first); });
     });
     for (const auto& item : per_minute) {
         const auto& name = item.first;
         const auto phase = phase_of(this->seed, name);
-        this->ledgers.with_shard(name, [&](auto& shard) {
+        this->limiters.with_shard(name, [&](auto& shard) {
             const auto place = shard.try_emplace(name, name, phase).first;
             place->second.set_limits(item.second);
         });
     }
 }
 
-auto share_keeper::set_entries(std::vector<entry_peer> entries) -> void
+auto shared_limiter::set_entries(std::vector<entry_peer> entries) -> void
 {
     auto next = std::make_shared<directory>();
     entries.push_back({this->settings.self, this->settings.data_centre});
@@ -75,12 +76,12 @@
     this->peers = std::move(next);
 }
 
-auto share_keeper::admit(
+auto shared_limiter::admit(
     const common::organisation_id& organisation, amounts expected, common::time_point now)
     -> common::result<void>
 {
     const auto all = this->listed();
-    return this->ledgers.with_shard(organisation, [&](auto& shard) -> common::result<void> {
+    return this->limiters.with_shard(organisation, [&](auto& shard) -> common::result<void> {
         const auto found = shard.find(organisation);
         if (found == shard.end()) {
             return {};
@@ -89,22 +90,22 @@
     });
 }
 
-auto share_keeper::settle(
+auto shared_limiter::reconcile(
     const common::organisation_id& organisation, amounts expected, amounts used) -> void
 {
-    this->ledgers.with_shard(organisation, [&](auto& shard) {
+    this->limiters.with_shard(organisation, [&](auto& shard) {
         const auto found = shard.find(organisation);
         if (found != shard.end()) {
-            found->second.settle(expected, used);
+            found->second.reconcile(expected, used);
         }
     });
 }
 
-auto share_keeper::reports(common::time_point now) -> std::vector<demand_report>
+auto shared_limiter::make_reports(common::time_point now) -> std::vector<demand_report>
 {
     const auto all = this->listed();
     std::map<common::host_id, std::vector<messages::limit_demand>> by_host;
-    this->ledgers.for_each_shard([&](auto& shard) {
+    this->limiters.for_each_shard([&](auto& shard) {
         for (auto& [organisation, item] : shard) {
             item.close_period(now);
             for (auto& report : this->report_on(item, organisation, *all, now)) {
@@ -122,7 +123,7 @@
     return made;
 }
 
-auto share_keeper::on_report(
+auto shared_limiter::on_report(
     const common::host_id& from,
     std::span<const messages::limit_demand> rows,
     common::time_point now) -> std::vector<messages::limit_demand>
@@ -136,7 +137,7 @@
     return answer;
 }
 
-auto share_keeper::on_answer(
+auto shared_limiter::on_answer(
     const common::host_id& from,
     std::span<const messages::limit_demand> rows,
     common::time_point now) -> void
@@ -147,14 +148,14 @@
     }
 }
 
-auto share_keeper::listed() -> std::shared_ptr<const directory>
+auto shared_limiter::listed() -> std::shared_ptr<const directory>
 {
     const std::lock_guard guard(this->directory_lock);
     return this->peers;
 }
 
-auto share_keeper::report_on(
-    ledger& item,
+auto shared_limiter::report_on(
+    organisation_limiter& item,
     const common::organisation_id& organisation,
     const directory& all,
     common::time_point now) -> std::vector<demand_report>
@@ -175,7 +176,7 @@
     return made;
 }
 
-auto share_keeper::take_row(
+auto shared_limiter::take_row(
     const common::host_id& from,
     const messages::limit_demand& row,
     const directory& all,
@@ -184,7 +185,7 @@
     std::vector<messages::limit_demand> answer;
     const auto sender = all.data_centres.find(from);
     const auto expires = now + this->settings.row_lifetime;
-    this->ledgers.with_shard(row.organisation, [&](auto& shard) {
+    this->limiters.with_shard(row.organisation, [&](auto& shard) {
         const auto found = shard.find(row.organisation);
         if (found == shard.end() || sender == all.data_centres.end()) {
             return;
--- a/source/core/limits/share.hpp
+++ b/source/core/limits/shared_limiter.hpp
@@ -12,7 +12,7 @@
 #include "common/sharded_map.hpp"
 #include "common/units.hpp"
 #include "limits/amounts.hpp"
-#include "limits/ledger.hpp"
+#include "limits/organisation_limiter.hpp"
 #include "messages/peer.hpp"
 
 /// Each organisation's limits a minute, shared between all entries in proportion to demand.
@@ -24,7 +24,7 @@
     common::data_centre_id data_centre;
 };
 
-struct share_settings {
+struct shared_limiter_settings {
     common::host_id self;
     common::data_centre_id data_centre;
     /// A row of another process is used no longer than this, from its arrival. A total received in
@@ -44,10 +44,10 @@
 /// In each data centre one entry sums an organisation's demand (by rendezvous hashing); these
 /// entries exchange their sums, and a report's answer brings the total of the fleet. So an entry
 /// sends one small row for each organisation a second, however many entries there are. Thread-safe.
-class share_keeper {
+class shared_limiter {
 public:
     /// `seed` differs between processes.
-    share_keeper(share_settings settings, std::uint64_t seed);
+    shared_limiter(shared_limiter_settings settings, std::uint64_t seed);
 
     /// From the inventory, at each change; what is not named has no limits.
     auto set_limits(const std::map<common::organisation_id, amounts>& per_minute) -> void;
@@ -62,11 +62,11 @@
         -> common::result<void>;
 
     /// The request has ended: what it really used replaces what was expected.
-    auto settle(const common::organisation_id& organisation, amounts expected, amounts used)
+    auto reconcile(const common::organisation_id& organisation, amounts expected, amounts used)
         -> void;
 
     /// What to send now; call it every second.
-    auto reports(common::time_point now) -> std::vector<demand_report>;
+    auto make_reports(common::time_point now) -> std::vector<demand_report>;
 
     /// Another entry's report came in; the result goes back in the answer.
     auto on_report(
@@ -89,7 +89,7 @@
 
     [[nodiscard]] auto listed() -> std::shared_ptr<const directory>;
     auto report_on(
-        ledger& item,
+        organisation_limiter& item,
         const common::organisation_id& organisation,
         const directory& peers,
         common::time_point now) -> std::vector<demand_report>;
@@ -99,11 +99,11 @@
         const directory& peers,
         common::time_point now) -> std::vector<messages::limit_demand>;
 
-    share_settings settings;
+    shared_limiter_settings settings;
     std::uint64_t seed;
     std::mutex directory_lock;
     std::shared_ptr<const directory> peers;
-    common::sharded_map<common::organisation_id, ledger> ledgers;
+    common::sharded_map<common::organisation_id, organisation_limiter> limiters;
 };
 
 } // namespace reedramp::limits
--- a/source/core/messages/peer.hpp
+++ b/source/core/messages/peer.hpp
@@ -122,7 +122,8 @@
     double rating_sum = 0.0;
     std::uint64_t slow = 0;
     /// Logarithms of the wealth of the process's own bets against the version, a fixed number for
-    /// each signal (see policy/guard.hpp). The sums over processes are evidence again.
+    /// each signal (see policy/regression_detector.hpp). The sums over processes are evidence
+    /// again.
     std::vector<double> log_wealth;
 
     auto operator==(const version_evidence&) const -> bool = default;
--- a/source/core/placement/affinity.cpp
+++ b/source/core/placement/affinity.cpp
@@ -30,23 +30,24 @@
     return mix(server ^ key);
 }
 
-auto make_candidate(common::server_id server, distance away) -> candidate
+auto make_candidate(common::server_id server, server_distance distance) -> candidate
 {
     const auto hash = affinity_hash(server.value());
-    return {std::move(server), away, hash};
+    return {std::move(server), distance, hash};
 }
 
-auto preferred(std::span<const candidate> candidates, std::uint64_t key)
+auto preferred_candidates(std::span<const candidate> candidates, std::uint64_t key)
     -> std::optional<std::size_t>
 {
-    const auto first = preferred(candidates, key, 1);
+    const auto first = preferred_candidates(candidates, key, 1);
     return first.empty() ? std::nullopt : std::optional(first.front());
 }
 
-auto preferred(std::span<const candidate> candidates, std::uint64_t key, std::size_t count)
+auto preferred_candidates(
+    std::span<const candidate> candidates, std::uint64_t key, std::size_t count)
     -> std::vector<std::size_t>
 {
-    return first_by_affinity(
+    return top_by_affinity(
         candidates.size(),
         key,
         count,
--- a/source/core/placement/affinity.hpp
+++ b/source/core/placement/affinity.hpp
@@ -14,18 +14,18 @@
 namespace reedramp::placement {
 
 /// How far a backend server is from this entry.
-enum class distance : std::uint8_t { same_data_centre, same_region, other_region };
+enum class server_distance : std::uint8_t { same_data_centre, same_region, other_region };
 
 /// A usable server of the wanted version. The list is made once for each change of membership, not
 /// for each request.
 struct candidate {
     common::server_id server;
-    distance away = distance::same_data_centre;
+    server_distance distance = server_distance::same_data_centre;
     /// `affinity_hash(server)`, kept so that ranking costs no hashing of text.
     std::uint64_t hash = 0;
 };
 
-auto make_candidate(common::server_id server, distance away) -> candidate;
+auto make_candidate(common::server_id server, server_distance distance) -> candidate;
 
 /// 64-bit hash of a session, a prompt's prefix or a server; the same in all processes.
 auto affinity_hash(std::string_view text) -> std::uint64_t;
@@ -38,7 +38,7 @@
 /// front. `hash_at(i)` is the hash of a server's id; `may_be(i)` leaves servers out, and is asked
 /// only of those that would rank.
 template <typename HashAt, typename MayBe>
-auto first_by_affinity(
+auto top_by_affinity(
     std::size_t size, std::uint64_t key, std::size_t count, HashAt hash_at, MayBe may_be)
     -> std::vector<std::size_t>
 {
@@ -66,11 +66,12 @@
 
 /// Index of the candidate that ranks first for `key` by rendezvous hashing: the same in all entries
 /// that know the same servers, and when a server goes only its own keys move.
-auto preferred(std::span<const candidate> candidates, std::uint64_t key)
+auto preferred_candidates(std::span<const candidate> candidates, std::uint64_t key)
     -> std::optional<std::size_t>;
 
 /// The indexes of the first `count` candidates in the same ranking, or of all if there are fewer.
-auto preferred(std::span<const candidate> candidates, std::uint64_t key, std::size_t count)
+auto preferred_candidates(
+    std::span<const candidate> candidates, std::uint64_t key, std::size_t count)
     -> std::vector<std::size_t>;
 
 } // namespace reedramp::placement
--- a/source/core/placement/fair_queue.cpp
+++ b/source/core/placement/fair_queue.cpp
@@ -93,7 +93,7 @@
     return this->start(turn, 0, now);
 }
 
-auto fair_queue::take_hopeless(common::time_point now) -> std::vector<queued_request>
+auto fair_queue::take_infeasible(common::time_point now) -> std::vector<queued_request>
 {
     std::vector<queued_request> hopeless;
     if (now <= this->earliest_check) {
--- a/source/core/placement/fair_queue.hpp
+++ b/source/core/placement/fair_queue.hpp
@@ -52,8 +52,8 @@
 /// round robin; a turn is worth a mean request), and never holding a request that can no longer
 /// finish in time.
 ///
-/// The surrounding agent calls `push` for each new request, then `take_hopeless` and `pop` until it
-/// is empty, whenever something was pushed or finished and at `next_check()`. It is not
+/// The surrounding agent calls `push` for each new request, then `take_infeasible` and `pop` until
+/// it is empty, whenever something was pushed or finished and at `next_check()`. It is not
 /// thread-safe; the agent calls it under the lock of its shard.
 class fair_queue {
 public:
@@ -69,9 +69,9 @@
 
     /// Takes out all requests that can no longer finish in time. The agent records a refusal for
     /// each and answers at once; holding them back would only keep the caller from going elsewhere.
-    auto take_hopeless(common::time_point now) -> std::vector<queued_request>;
+    auto take_infeasible(common::time_point now) -> std::vector<queued_request>;
 
-    /// When `take_hopeless` may next give something; `never` for an empty queue.
+    /// When `take_infeasible` may next give something; `never` for an empty queue.
     [[nodiscard]] auto next_check() const -> common::time_point;
 
     /// A popped request has ended (whole, failed or cancelled) after `used` tokens.
--- a/source/core/placement/probe_pool.cpp
+++ b/source/core/placement/probe_pool.cpp
@@ -8,14 +8,14 @@
 
 auto to_probe(
     const messages::probe_answer& answer,
-    distance away,
+    server_distance distance,
     common::time_point expires,
-    std::uint32_t uses) -> probe
+    std::uint32_t uses) -> probe_result
 {
-    probe made;
+    probe_result made;
     made.server = answer.server;
     made.hash = affinity_hash(answer.server.value());
-    made.away = away;
+    made.distance = distance;
     made.in_flight = answer.in_flight + answer.queued;
     made.estimated_wait = answer.estimated_wait;
     if (answer.queued > 0) {
@@ -33,39 +33,42 @@
 auto probe_pool::add(
     const common::version_id& version,
     const messages::probe_answer& answer,
-    distance away,
+    server_distance distance,
     common::time_point now) -> void
 {
-    const auto item = to_probe(answer, away, now + this->settings.lifetime, this->settings.uses);
+    const auto item =
+        to_probe(answer, distance, now + this->settings.lifetime, this->settings.uses);
     const auto usable = answer.serves_version && !answer.leaving;
     this->pools.with_shard(version, [&](auto& shard) {
         auto& probes = shard[version];
-        std::erase_if(probes, [&item](const probe& other) { return other.server == item.server; });
+        std::erase_if(
+            probes, [&item](const probe_result& other) { return other.server == item.server; });
         if (!usable) {
             return;
         }
         if (probes.size() >= this->settings.capacity) {
-            probes.erase(std::ranges::min_element(probes, {}, &probe::expires));
+            probes.erase(std::ranges::min_element(probes, {}, &probe_result::expires));
         }
         probes.push_back(item);
     });
 }
 
 auto probe_pool::fresh(const common::version_id& version, common::time_point now)
-    -> std::vector<probe>
+    -> std::vector<probe_result>
 {
-    return this->with_fresh(version, now, [](std::span<const probe> probes) {
-        return std::vector<probe>(probes.begin(), probes.end());
+    return this->with_fresh(version, now, [](std::span<const probe_result> probes) {
+        return std::vector<probe_result>(probes.begin(), probes.end());
     });
 }
 
-auto probe_pool::drop_unusable(std::vector<probe>& probes, common::time_point now) -> void
+auto probe_pool::drop_unusable(std::vector<probe_result>& probes, common::time_point now) -> void
 {
-    std::erase_if(
-        probes, [now](const probe& item) { return item.uses_left == 0 || item.expires < now; });
+    std::erase_if(probes, [now](const probe_result& item) {
+        return item.uses_left == 0 || item.expires < now;
+    });
 }
 
-auto probe_pool::note_sent(const common::version_id& version, const common::server_id& server)
+auto probe_pool::record_send(const common::version_id& version, const common::server_id& server)
     -> void
 {
     this->pools.with_shard(version, [&](auto& shard) {
@@ -73,7 +76,7 @@
         if (pool == shard.end()) {
             return;
         }
-        const auto found = std::ranges::find(pool->second, server, &probe::server);
+        const auto found = std::ranges::find(pool->second, server, &probe_result::server);
         if (found == pool->second.end() || found->uses_left == 0) {
             return;
         }
@@ -83,11 +86,12 @@
     });
 }
 
-auto probe_pool::forget(const common::server_id& server) -> void
+auto probe_pool::remove_server(const common::server_id& server) -> void
 {
     this->pools.for_each_shard([&server](auto& shard) {
         for (auto& [version, probes] : shard) {
-            std::erase_if(probes, [&server](const probe& item) { return item.server == server; });
+            std::erase_if(
+                probes, [&server](const probe_result& item) { return item.server == server; });
         }
     });
 }
--- a/source/core/placement/probe_pool.hpp
+++ b/source/core/placement/probe_pool.hpp
@@ -14,11 +14,11 @@
 namespace reedramp::placement {
 
 /// What one server said of itself, as far as placement needs it.
-struct probe {
+struct probe_result {
     common::server_id server;
     /// `affinity_hash(server)`.
     std::uint64_t hash = 0;
-    distance away = distance::same_data_centre;
+    server_distance distance = server_distance::same_data_centre;
     /// Requests running and queued there, plus those this entry has sent since the answer.
     std::uint32_t in_flight = 0;
     /// Wait of a new request there, plus the share of those sent since.
@@ -52,12 +52,12 @@
     auto
     add(const common::version_id& version,
         const messages::probe_answer& answer,
-        distance away,
+        server_distance distance,
         common::time_point now) -> void;
 
     /// All answers that can still be used; expired and used-up ones are dropped.
     [[nodiscard]] auto fresh(const common::version_id& version, common::time_point now)
-        -> std::vector<probe>;
+        -> std::vector<probe_result>;
 
     /// Gives the same answers to `action(std::span<const probe>)` without copying them, and returns
     /// what it returns. It runs under the version's lock and must not call the pool.
@@ -68,25 +68,25 @@
         return this->pools.with_shard(version, [&](auto& shard) -> decltype(auto) {
             const auto found = shard.find(version);
             if (found == shard.end()) {
-                return action(std::span<const probe>());
+                return action(std::span<const probe_result>());
             }
             drop_unusable(found->second, now);
-            return action(std::span<const probe>(found->second));
+            return action(std::span<const probe_result>(found->second));
         });
     }
 
     /// A request of this entry goes to the server: its answer counts one more in flight, a longer
     /// wait, and one use less.
-    auto note_sent(const common::version_id& version, const common::server_id& server) -> void;
+    auto record_send(const common::version_id& version, const common::server_id& server) -> void;
 
     /// The server's connection was closed, or it announced that it leaves.
-    auto forget(const common::server_id& server) -> void;
+    auto remove_server(const common::server_id& server) -> void;
 
 private:
-    static auto drop_unusable(std::vector<probe>& probes, common::time_point now) -> void;
+    static auto drop_unusable(std::vector<probe_result>& probes, common::time_point now) -> void;
 
     probe_pool_settings settings;
-    common::sharded_map<common::version_id, std::vector<probe>> pools;
+    common::sharded_map<common::version_id, std::vector<probe_result>> pools;
 };
 
 } // namespace reedramp::placement
--- a/source/core/placement/retry_budget.cpp
+++ b/source/core/placement/retry_budget.cpp
@@ -5,25 +5,25 @@
 namespace reedramp::placement {
 
 retry_budget::retry_budget(retry_budget_settings initial)
-    : settings(initial), saved(initial.most_saved)
+    : settings(initial), saved(initial.max_saved)
 {
 }
 
-auto retry_budget::change(retry_budget_settings changed) -> void
+auto retry_budget::update_settings(retry_budget_settings changed) -> void
 {
     const std::lock_guard guard(this->lock);
     this->settings = changed;
-    this->saved = std::min(this->saved, changed.most_saved);
+    this->saved = std::min(this->saved, changed.max_saved);
 }
 
-auto retry_budget::note_first_try() -> void
+auto retry_budget::record_first_attempt() -> void
 {
     const std::lock_guard guard(this->lock);
     this->saved =
-        std::min(this->saved + this->settings.retries_per_first_try, this->settings.most_saved);
+        std::min(this->saved + this->settings.retries_per_first_try, this->settings.max_saved);
 }
 
-auto retry_budget::take_retry(double reserve) -> bool
+auto retry_budget::try_acquire_retry(double reserve) -> bool
 {
     const std::lock_guard guard(this->lock);
     if (this->saved < 1.0 + reserve) {
--- a/source/core/placement/retry_budget.hpp
+++ b/source/core/placement/retry_budget.hpp
@@ -8,7 +8,7 @@
     /// Second tries allowed for each first try.
     double retries_per_first_try = 0.1;
     /// Most second tries that can be saved up; also what a new process starts with.
-    double most_saved = 20.0;
+    double max_saved = 20.0;
 };
 
 /// Bounds an entry's second tries by a share of its first tries.
@@ -21,13 +21,13 @@
     explicit retry_budget(retry_budget_settings settings);
 
     /// What is saved up stays, up to the new bound.
-    auto change(retry_budget_settings settings) -> void;
+    auto update_settings(retry_budget_settings settings) -> void;
 
-    auto note_first_try() -> void;
+    auto record_first_attempt() -> void;
 
     /// True if one more try may be made now; it is then counted. A try that is a matter of choice
     /// leaves `reserve` tries to those without which a request fails.
-    [[nodiscard]] auto take_retry(double reserve = 0.0) -> bool;
+    [[nodiscard]] auto try_acquire_retry(double reserve = 0.0) -> bool;
 
 private:
     retry_budget_settings settings;
--- a/source/core/placement/chooser.cpp
+++ b/source/core/placement/server_selector.cpp
@@ -1,4 +1,4 @@
-#include "placement/chooser.hpp"
+#include "placement/server_selector.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -20,24 +20,24 @@
 /// The servers where this request's cache is likely to be, the likeliest first: its requests go to
 /// the second one when the first is busy. A session's own servers go before those of its prefix,
 /// since they hold the longer part of the conversation.
-auto preferred_for(const place_request& request, std::span<const candidate> candidates)
+auto preferred_for(const placement_request& request, std::span<const candidate> candidates)
     -> std::vector<std::size_t>
 {
     const auto key = request.session_hash != 0 ? request.session_hash : request.prefix_hash;
     if (key == 0) {
         return {};
     }
-    return preferred(candidates, key, preferred_servers);
+    return preferred_candidates(candidates, key, preferred_servers);
 }
 
 /// Indexes of the candidates of this region, or of the other ones, that are not excluded.
-auto indexes_of(const place_request& request, std::span<const candidate> candidates, bool near)
+auto indexes_of(const placement_request& request, std::span<const candidate> candidates, bool near)
     -> std::vector<std::size_t>
 {
     std::vector<std::size_t> indexes;
     indexes.reserve(candidates.size());
     for (std::size_t index = 0; index < candidates.size(); ++index) {
-        const auto is_near = candidates[index].away != distance::other_region;
+        const auto is_near = candidates[index].distance != server_distance::other_region;
         if (is_near == near && !contains(request.excluded, candidates[index].server)) {
             indexes.push_back(index);
         }
@@ -46,25 +46,26 @@
 }
 
 /// True if some fresh answer says that its server would start the request at once.
-auto knows_free(const place_request& request, std::span<const probe> fresh) -> bool
+auto has_free_server(const placement_request& request, std::span<const probe_result> fresh) -> bool
 {
-    return std::ranges::any_of(fresh, [&request](const probe& item) {
+    return std::ranges::any_of(fresh, [&request](const probe_result& item) {
         return item.estimated_wait == common::duration(0) &&
                !contains(request.excluded, item.server);
     });
 }
 
 /// True for a candidate that may be asked and is neither known already nor in `to`.
-struct may_ask {
-    const place_request& request;
+struct probe_filter {
+    const placement_request& request;
     std::span<const candidate> candidates;
-    std::span<const probe> known;
+    std::span<const probe_result> known;
     const std::vector<std::size_t>& to;
 
     auto operator()(std::size_t index) const -> bool
     {
         const auto& item = this->candidates[index];
-        return std::ranges::find(this->known, item.hash, &probe::hash) == this->known.end() &&
+        return std::ranges::find(this->known, item.hash, &probe_result::hash) ==
+                   this->known.end() &&
                std::ranges::find(this->to, index) == this->to.end() &&
                !contains(this->request.excluded, item.server);
     }
@@ -72,18 +73,18 @@
 
 /// Adds one random candidate of this region (or of another one) to `to`. False if there is none.
 auto draw(
-    const may_ask& allowed,
+    const probe_filter& allowed,
     bool near,
     std::vector<std::size_t>& to,
     const common::random_hook& random) -> bool
 {
     const auto is_wanted = [&allowed, near](std::size_t index) {
-        const auto is_near = allowed.candidates[index].away != distance::other_region;
+        const auto is_near = allowed.candidates[index].distance != server_distance::other_region;
         return is_near == near && allowed(index);
     };
     // Nearly all candidates may be asked, so that a few throws mostly find one without a list.
-    constexpr int throws = 4;
-    for (int turn = 0; turn < throws && !allowed.candidates.empty(); ++turn) {
+    constexpr int max_draws = 4;
+    for (int turn = 0; turn < max_draws && !allowed.candidates.empty(); ++turn) {
         const auto index = static_cast<std::size_t>(random() % allowed.candidates.size());
         if (is_wanted(index)) {
             to.push_back(index);
@@ -103,9 +104,9 @@
     return true;
 }
 
-using probe_list = std::vector<const probe*>;
+using probe_list = std::vector<const probe_result*>;
 
-auto hot_above(const probe_list& probes, double quantile) -> std::uint32_t
+auto hot_threshold(const probe_list& probes, double quantile) -> std::uint32_t
 {
     std::vector<std::uint32_t> loads;
     loads.reserve(probes.size());
@@ -119,35 +120,35 @@
 }
 
 /// The best probe of another server than the chosen one.
-auto runner_up(const probe_list& best_first, const probe& chosen)
+auto runner_up(const probe_list& best_first, const probe_result& chosen)
     -> std::optional<common::server_id>
 {
     const auto other = std::ranges::find_if(
-        best_first, [&chosen](const probe* item) { return item->hash != chosen.hash; });
+        best_first, [&chosen](const probe_result* item) { return item->hash != chosen.hash; });
     return other == best_first.end() ? std::nullopt : std::optional((*other)->server);
 }
 
 } // namespace
 
-auto to_string(place_reason reason) -> std::string_view
+auto to_string(placement_reason reason) -> std::string_view
 {
     switch (reason) {
-    case place_reason::session_server:
+    case placement_reason::session_server:
         return "session_server";
-    case place_reason::prefix_server:
+    case placement_reason::prefix_server:
         return "prefix_server";
-    case place_reason::least_wait:
+    case placement_reason::least_wait:
         return "least_wait";
-    case place_reason::unprobed:
+    case placement_reason::unprobed:
         return "unprobed";
     }
     return "unknown";
 }
 
-chooser::chooser(chooser_settings initial) : settings(initial) {}
+server_selector::server_selector(server_selector_settings initial) : settings(initial) {}
 
-auto chooser::plan(
-    const place_request& request,
+auto server_selector::plan(
+    const placement_request& request,
     std::span<const candidate> candidates,
     probe_pool& pool,
     std::size_t round,
@@ -155,70 +156,71 @@
     const common::random_hook& random) const -> probe_plan
 {
     probe_plan made;
-    made.place_at = now;
+    made.place_by = now;
     if (round >= this->settings.probes_by_round.size()) {
         return made;
     }
-    pool.with_fresh(request.version, now, [&](std::span<const probe> fresh) {
-        if (round == 0 || !knows_free(request, fresh)) {
-            this->fill(made.ask, request, candidates, fresh, round, random);
+    pool.with_fresh(request.version, now, [&](std::span<const probe_result> fresh) {
+        if (round == 0 || !has_free_server(request, fresh)) {
+            this->fill(made.targets, request, candidates, fresh, round, random);
         }
     });
-    if (!made.ask.empty()) {
-        made.place_at = now + this->settings.probe_timeout;
+    if (!made.targets.empty()) {
+        made.place_by = now + this->settings.probe_timeout;
     }
     return made;
 }
 
-auto chooser::fill(
-    std::vector<std::size_t>& ask,
-    const place_request& request,
+auto server_selector::fill(
+    std::vector<std::size_t>& targets,
+    const placement_request& request,
     std::span<const candidate> candidates,
-    std::span<const probe> fresh,
+    std::span<const probe_result> fresh,
     std::size_t round,
     const common::random_hook& random) const -> void
 {
     const auto wanted = this->settings.probes_by_round[round];
-    const may_ask unknown{request, candidates, fresh, ask};
+    const probe_filter unknown{request, candidates, fresh, targets};
     for (const auto index : preferred_for(request, candidates)) {
-        if (ask.size() < wanted && unknown(index)) {
-            ask.push_back(index);
+        if (targets.size() < wanted && unknown(index)) {
+            targets.push_back(index);
         }
     }
     // The first round asks even a known server, since a later answer is a better one.
-    const auto allowed = round == 0 ? may_ask{request, candidates, {}, ask}
-                                    : may_ask{request, candidates, fresh, ask};
-    const auto has_near = std::ranges::any_of(
-        candidates, [](const candidate& item) { return item.away != distance::other_region; });
-    while (ask.size() < wanted && draw(allowed, has_near, ask, random)) {
+    const auto allowed = round == 0 ? probe_filter{request, candidates, {}, targets}
+                                    : probe_filter{request, candidates, fresh, targets};
+    const auto has_near = std::ranges::any_of(candidates, [](const candidate& item) {
+        return item.distance != server_distance::other_region;
+    });
+    while (targets.size() < wanted && draw(allowed, has_near, targets, random)) {
     }
-    if (has_near && this->near_is_busy(fresh)) {
-        draw(allowed, false, ask, random);
+    if (has_near && this->nearby_servers_are_busy(fresh)) {
+        draw(allowed, false, targets, random);
     }
 }
 
-auto chooser::place(
-    const place_request& request,
+auto server_selector::place(
+    const placement_request& request,
     std::span<const candidate> candidates,
     probe_pool& pool,
     common::time_point now,
     const common::random_hook& random) const -> std::optional<placement>
 {
-    const auto by_probes = [&](std::span<const probe> fresh) {
+    const auto by_probes = [&](std::span<const probe_result> fresh) {
         return this->place_probed(request, candidates, fresh, random);
     };
     auto chosen = pool.with_fresh(request.version, now, by_probes);
     if (!chosen) {
         return this->place_unprobed(request, candidates, random);
     }
-    pool.note_sent(request.version, chosen->server);
+    pool.record_send(request.version, chosen->server);
     return chosen;
 }
 
-auto chooser::place_probed(
-    const place_request& request,
+auto server_selector::place_probed(
+    const placement_request& request,
     std::span<const candidate> candidates,
-    std::span<const probe> fresh,
+    std::span<const probe_result> fresh,
     const common::random_hook& random) const -> std::optional<placement>
 {
     probe_list probes;
@@ -232,40 +234,45 @@
     if (probes.empty()) {
         return std::nullopt;
     }
-    const auto limit = hot_above(probes, this->settings.hot_quantile);
+    const auto limit = hot_threshold(probes, this->settings.hot_quantile);
     // Equal probes are taken in random order; else all entries would agree on the first.
     const auto first = static_cast<std::ptrdiff_t>(random() % probes.size());
     std::rotate(probes.begin(), probes.begin() + first, probes.end());
-    std::ranges::stable_sort(probes, {}, [&](const probe* item) {
+    std::ranges::stable_sort(probes, {}, [&](const probe_result* item) {
         const auto hot = item->in_flight > limit;
-        return std::tuple(hot, this->expected_wait(*item), item->in_flight, item->away);
+        return std::tuple(hot, this->expected_wait(*item), item->in_flight, item->distance);
     });
     return this->take(request, candidates, probes);
 }
 
-auto chooser::take(
-    const place_request& request,
+auto server_selector::take(
+    const placement_request& request,
     std::span<const candidate> candidates,
-    const std::vector<const probe*>& best_first) const -> placement
+    const std::vector<const probe_result*>& best_first) const -> placement
 {
     const auto& best = *best_first.front();
-    const auto bound = this->expected_wait(best) + this->settings.affinity_worth;
+    const auto bound = this->expected_wait(best) + this->settings.affinity_wait_allowance;
     for (const auto index : preferred_for(request, candidates)) {
-        const auto kept = std::ranges::find(
-            best_first, candidates[index].hash, [](const probe* item) { return item->hash; });
+        const auto kept =
+            std::ranges::find(best_first, candidates[index].hash, [](const probe_result* item) {
+                return item->hash;
+            });
         if (kept != best_first.end() && this->expected_wait(**kept) <= bound) {
-            const auto reason = request.session_hash != 0 ? place_reason::session_server
-                                                          : place_reason::prefix_server;
+            const auto reason = request.session_hash != 0 ? placement_reason::session_server
+                                                          : placement_reason::prefix_server;
             const auto& own = **kept;
             return {own.server, reason, runner_up(best_first, own), own.estimated_wait};
         }
     }
     return {
-        best.server, place_reason::least_wait, runner_up(best_first, best), best.estimated_wait};
+        best.server,
+        placement_reason::least_wait,
+        runner_up(best_first, best),
+        best.estimated_wait};
 }
 
-auto chooser::place_unprobed(
-    const place_request& request,
+auto server_selector::place_unprobed(
+    const placement_request& request,
     std::span<const candidate> candidates,
     const common::random_hook& random) const -> std::optional<placement>
 {
@@ -282,21 +289,22 @@
     return made;
 }
 
-auto chooser::near_is_busy(std::span<const probe> fresh) const -> bool
+auto server_selector::nearby_servers_are_busy(std::span<const probe_result> fresh) const -> bool
 {
-    const auto busy = [this](const probe& item) {
-        return item.away == distance::other_region ||
-               item.estimated_wait > this->settings.spill_wait;
+    const auto busy = [this](const probe_result& item) {
+        return item.distance == server_distance::other_region ||
+               item.estimated_wait > this->settings.spill_threshold;
     };
     return !fresh.empty() && std::ranges::all_of(fresh, busy);
 }
 
-auto chooser::expected_wait(const probe& item) const -> common::duration
+auto server_selector::expected_wait(const probe_result& item) const -> common::duration
 {
     // Trips within a region are left out: they are far shorter than the waits of requests, and with
     // them all requests would go to their own data centre's servers until these are full.
-    const auto is_far = item.away == distance::other_region;
-    return item.estimated_wait + (is_far ? this->settings.region_trip : common::duration(0));
+    const auto is_far = item.distance == server_distance::other_region;
+    return item.estimated_wait +
+           (is_far ? this->settings.inter_region_latency : common::duration(0));
 }
 
 } // namespace reedramp::placement
--- a/source/core/placement/chooser.hpp
+++ b/source/core/placement/server_selector.hpp
@@ -17,7 +17,7 @@
 namespace reedramp::placement {
 
 /// Why a server was chosen; goes into the decision's log line.
-enum class place_reason : std::uint8_t {
+enum class placement_reason : std::uint8_t {
     /// The session's server, within the bound.
     session_server,
     /// The prefix's server, within the bound.
@@ -28,9 +28,9 @@
     unprobed,
 };
 
-auto to_string(place_reason reason) -> std::string_view;
+auto to_string(placement_reason reason) -> std::string_view;
 
-struct chooser_settings {
+struct server_selector_settings {
     /// Servers probed in each round. The next round is asked only while all that answered are busy.
     std::array<std::size_t, 3> probes_by_round{1, 2, 4};
     /// How long a request waits for its probes' answers; then it is placed by what is there.
@@ -38,15 +38,15 @@
     /// A server is hot when its requests in flight are above this quantile of the fresh probes.
     double hot_quantile = 0.84;
     /// Trip to another region, added to the wait of a server there.
-    common::duration region_trip = std::chrono::milliseconds(15);
+    common::duration inter_region_latency = std::chrono::milliseconds(15);
     /// One server of another region is probed too when all fresh near probes wait longer than this.
-    common::duration spill_wait = std::chrono::seconds(2);
+    common::duration spill_threshold = std::chrono::seconds(2);
     /// Wait that a session's or prefix's kept cache is worth: about the prefill time that it saves.
-    common::duration affinity_worth = std::chrono::milliseconds(50);
+    common::duration affinity_wait_allowance = std::chrono::milliseconds(50);
 };
 
 /// What placement has to know of a request.
-struct place_request {
+struct placement_request {
     common::version_id version;
     /// `affinity_hash` of the session, or zero.
     std::uint64_t session_hash = 0;
@@ -59,14 +59,14 @@
 /// Which servers to ask before placing.
 struct probe_plan {
     /// Indexes into the candidates.
-    std::vector<std::size_t> ask;
+    std::vector<std::size_t> targets;
     /// Place when all have answered, at this time at the latest.
-    common::time_point place_at;
+    common::time_point place_by;
 };
 
 struct placement {
     common::server_id server;
-    place_reason reason = place_reason::unprobed;
+    placement_reason reason = placement_reason::unprobed;
     std::optional<common::server_id> runner_up;
     /// Zero if the server was not probed.
     common::duration expected_wait{};
@@ -74,15 +74,15 @@
 
 /// Chooses backend servers for requests of one entry. Stateless but for the settings; the state is
 /// in the pool. Thread-safe.
-class chooser {
+class server_selector {
 public:
-    explicit chooser(chooser_settings settings);
+    explicit server_selector(server_selector_settings settings);
 
     /// First step, for each round from 0 on: which servers to probe for this request, those that
     /// are likely to hold its cache first. Nothing to ask in a later round means: place. Most
     /// requests need one round, so that few probes find what many would.
     [[nodiscard]] auto plan(
-        const place_request& request,
+        const placement_request& request,
         std::span<const candidate> candidates,
         probe_pool& pool,
         std::size_t round,
@@ -92,7 +92,7 @@
     /// Last step, when the answers are in the pool: the server. Empty if no candidate is left.
     /// The pool then counts the request on that server.
     [[nodiscard]] auto place(
-        const place_request& request,
+        const placement_request& request,
         std::span<const candidate> candidates,
         probe_pool& pool,
         common::time_point now,
@@ -100,29 +100,29 @@
 
 private:
     auto fill(
-        std::vector<std::size_t>& ask,
-        const place_request& request,
+        std::vector<std::size_t>& targets,
+        const placement_request& request,
         std::span<const candidate> candidates,
-        std::span<const probe> fresh,
+        std::span<const probe_result> fresh,
         std::size_t round,
         const common::random_hook& random) const -> void;
     [[nodiscard]] auto place_probed(
-        const place_request& request,
+        const placement_request& request,
         std::span<const candidate> candidates,
-        std::span<const probe> fresh,
+        std::span<const probe_result> fresh,
         const common::random_hook& random) const -> std::optional<placement>;
     [[nodiscard]] auto take(
-        const place_request& request,
+        const placement_request& request,
         std::span<const candidate> candidates,
-        const std::vector<const probe*>& best_first) const -> placement;
+        const std::vector<const probe_result*>& best_first) const -> placement;
     [[nodiscard]] auto place_unprobed(
-        const place_request& request,
+        const placement_request& request,
         std::span<const candidate> candidates,
         const common::random_hook& random) const -> std::optional<placement>;
-    [[nodiscard]] auto near_is_busy(std::span<const probe> fresh) const -> bool;
-    [[nodiscard]] auto expected_wait(const probe& item) const -> common::duration;
+    [[nodiscard]] auto nearby_servers_are_busy(std::span<const probe_result> fresh) const -> bool;
+    [[nodiscard]] auto expected_wait(const probe_result& item) const -> common::duration;
 
-    chooser_settings settings;
+    server_selector_settings settings;
 };
 
 } // namespace reedramp::placement
--- a/source/core/policy/chooser.cpp
+++ b/source/core/policy/option_choice.cpp
@@ -1,4 +1,4 @@
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 
 #include <algorithm>
 #include <vector>
@@ -151,7 +151,7 @@
     return choice{open[std::min(index, open.size() - 1)]->key, choice_reason::exploring, best.key};
 }
 
-auto quality_account::book(
+auto quality_price_controller::update(
     const quality_estimate& chosen, double target, common::micro_money dearest) -> void
 {
     const auto scale = static_cast<double>(dearest.value());
@@ -165,7 +165,7 @@
     this->current = std::clamp(this->current + price_step * scale * shortfall, 0.0, highest);
 }
 
-auto in_share(std::uint64_t hash, common::permille share) -> bool
+auto is_in_rollout_share(std::uint64_t hash, common::permille share) -> bool
 {
     return hash % share_denominator < share.value();
 }
--- a/source/core/policy/chooser.hpp
+++ b/source/core/policy/option_choice.hpp
@@ -24,7 +24,8 @@
     cheapest_at_target,
     /// None meets the target; the one with the best lower bound.
     best_available,
-    /// The best of cost and quality at the present price of quality; see `quality_account`.
+    /// The best of cost and quality at the present price of quality; see
+    /// `quality_price_controller`.
     mixed_at_target,
     /// A cheaper one whose bounds include the target, to learn about it.
     exploring,
@@ -71,13 +72,13 @@
 /// A target that lies between two options is missed by the cheap one and exceeded by the dear one.
 /// The account raises the price of quality while the chosen options' lower bounds have fallen short
 /// of the target, and lowers it while they exceeded it; at the right price the choices alternate.
-class quality_account {
+class quality_price_controller {
 public:
     [[nodiscard]] auto price() const -> double { return this->current; }
 
     /// Books a choice that was made by price. `dearest` is the cost of the dearest option; it sets
     /// the scale.
-    auto book(const quality_estimate& chosen, double target, common::micro_money dearest) -> void;
+    auto update(const quality_estimate& chosen, double target, common::micro_money dearest) -> void;
 
 private:
     double current = 0.0;
@@ -86,6 +87,6 @@
 
 /// Whether a request belongs to the share of a version that is being rolled out. A hash of the
 /// session (or of the request, without one) decides, so that a growing share only adds sessions.
-auto in_share(std::uint64_t hash, common::permille share) -> bool;
+auto is_in_rollout_share(std::uint64_t hash, common::permille share) -> bool;
 
 } // namespace reedramp::policy
--- a/source/core/policy/quality.cpp
+++ b/source/core/policy/quality.cpp
@@ -25,7 +25,7 @@
     return key.first.value() + ">" + key.second->value();
 }
 
-auto forgetting_mean::add(double value, double memory) -> void
+auto exponential_mean::add(double value, double memory) -> void
 {
     const double keep = 1.0 - 1.0 / memory;
     this->total = this->total * keep + 1.0;
--- a/source/core/policy/quality.hpp
+++ b/source/core/policy/quality.hpp
@@ -45,7 +45,7 @@
 };
 
 /// Exponentially forgetting mean and variance.
-class forgetting_mean {
+class exponential_mean {
 public:
     auto add(double value, double memory) -> void;
 
@@ -80,8 +80,8 @@
 private:
     struct record {
         std::optional<double> prior;
-        forgetting_mean slow;
-        forgetting_mean quick;
+        exponential_mean slow;
+        exponential_mean quick;
     };
 
     [[nodiscard]] auto drifted(const record& seen) const -> bool;
--- a/source/core/policy/guard.cpp
+++ b/source/core/policy/regression_detector.cpp
@@ -1,4 +1,4 @@
-#include "policy/guard.hpp"
+#include "policy/regression_detector.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t bets = bet_shares.size();
+constexpr std::size_t bets = bet_fractions.size();
 constexpr std::size_t growth_block = signal_count * bets;
 
 /// Means that bets are made against stay away from 0 and 1, where the largest stake has no bound.
@@ -64,7 +64,7 @@
     const double gain = below ? against - value : value - against;
     const double largest_loss = below ? 1.0 - against : against;
     for (std::size_t i = 0; i < bets; ++i) {
-        logs[first + i] += std::log1p(bet_shares[i] * gain / largest_loss);
+        logs[first + i] += std::log1p(bet_fractions[i] * gain / largest_loss);
     }
 }
 
@@ -76,7 +76,7 @@
 
 } // namespace
 
-auto joined(const known_mean& one, const known_mean& other) -> known_mean
+auto combined_mean(const sample_mean& one, const sample_mean& other) -> sample_mean
 {
     const double count = one.count + other.count;
     if (count <= 0.0) {
@@ -85,9 +85,12 @@
     return {(one.value * one.count + other.value * other.count) / count, count};
 }
 
-evidence::evidence(guard_options chosen) : options(chosen), logs(wealth_size, 0.0) {}
+regression_evidence::regression_evidence(regression_detector_options chosen)
+    : options(chosen), logs(wealth_size, 0.0)
+{
+}
 
-auto evidence::best_mean(const reference& known) -> known_mean
+auto regression_evidence::best_mean(const reference& known) -> sample_mean
 {
     if (known.pooled.count > known.values.weight()) {
         return known.pooled;
@@ -95,40 +98,40 @@
     return {known.values.mean(), known.values.weight()};
 }
 
-auto evidence::old_mean(signal what) const -> known_mean
+auto regression_evidence::baseline_mean(signal what) const -> sample_mean
 {
     const auto& values = this->references[index_of(what)].values;
     return {values.mean(), values.weight()};
 }
 
-auto evidence::ready(const reference& known) const -> bool
+auto regression_evidence::ready(const reference& known) const -> bool
 {
-    return best_mean(known).count >= this->options.least_reference;
+    return best_mean(known).count >= this->options.min_baseline_count;
 }
 
-auto evidence::error_of(const reference& known) const -> double
+auto regression_evidence::error_of(const reference& known) const -> double
 {
     const double count = best_mean(known).count;
-    const bool seen_enough = known.values.weight() >= this->options.least_reference;
+    const bool seen_enough = known.values.weight() >= this->options.min_baseline_count;
     const double spread = seen_enough ? known.values.variance() : unknown_variance;
     // The second term: a rate of which no case was seen is not known to be 0.
-    return this->options.reference_errors * std::sqrt(spread / count) + 1.0 / count;
+    return this->options.baseline_standard_errors * std::sqrt(spread / count) + 1.0 / count;
 }
 
-auto evidence::add_old(signal what, double value) -> void
+auto regression_evidence::add_baseline(signal what, double value) -> void
 {
     auto& known = this->references[index_of(what)];
-    known.values.add(clamp_unit(value), this->options.reference_memory);
+    known.values.add(clamp_unit(value), this->options.baseline_memory);
     this->bet_on_waiting(what);
 }
 
-auto evidence::use_pooled(signal what, double mean, double count) -> void
+auto regression_evidence::set_pooled_baseline(signal what, double mean, double count) -> void
 {
     this->references[index_of(what)].pooled = {clamp_unit(mean), count};
     this->bet_on_waiting(what);
 }
 
-auto evidence::bet_on_waiting(signal what) -> void
+auto regression_evidence::bet_on_waiting(signal what) -> void
 {
     auto& known = this->references[index_of(what)];
     if (known.waiting.empty() || !this->ready(known)) {
@@ -140,7 +143,7 @@
     }
 }
 
-auto evidence::add_new(signal what, double value) -> void
+auto regression_evidence::add_candidate(signal what, double value) -> void
 {
     auto& known = this->references[index_of(what)];
     const double seen = clamp_unit(value);
@@ -154,7 +157,7 @@
     }
 }
 
-auto evidence::bet(signal what, double value) -> void
+auto regression_evidence::bet(signal what, double value) -> void
 {
     const auto first = index_of(what) * bets;
     const auto& known = this->references[index_of(what)];
@@ -173,13 +176,13 @@
     case signal::slow:
         add_returns(this->logs, first, above, value, high + this->options.slow_slack);
         return;
-    case signal::pace:
-        add_returns(this->logs, first, above, value, high + this->options.pace_slack);
+    case signal::latency:
+        add_returns(this->logs, first, above, value, high + this->options.latency_slack);
         return;
     }
 }
 
-drift_evidence::drift_evidence(guard_options chosen, double mean)
+drift_evidence::drift_evidence(regression_detector_options chosen, double mean)
     : options(chosen), accepted_mean(mean), logs(wealth_size, 0.0)
 {
 }
@@ -191,7 +194,7 @@
     add_returns(this->logs, first, direction::below, clamp_unit(value), least);
 }
 
-auto evidence::set_slack(signal what, double slack) -> void
+auto regression_evidence::set_slack(signal what, double slack) -> void
 {
     switch (what) {
     case signal::rating:
@@ -203,8 +206,8 @@
     case signal::slow:
         this->options.slow_slack = slack;
         return;
-    case signal::pace:
-        this->options.pace_slack = slack;
+    case signal::latency:
+        this->options.latency_slack = slack;
         return;
     }
 }
@@ -220,13 +223,14 @@
     std::ranges::transform(total, part, total.begin(), std::plus<>{});
 }
 
-auto judge(const wealth& total, const guard_options& options, double doubt) -> judgement
+auto evaluate(const wealth& total, const regression_detector_options& options, double doubt)
+    -> evaluation
 {
     if (total.size() != wealth_size) {
         return {};
     }
     const std::span<const double> all(total);
-    judgement found;
+    evaluation found;
     found.log_against = mixed_against(all, options.weights);
     found.log_for = log_mean_exp(all.subspan(growth_block));
     if (found.log_against >= -std::log(options.false_alarm)) {
--- a/source/core/policy/guard.hpp
+++ b/source/core/policy/regression_detector.hpp
@@ -22,7 +22,7 @@
     slow,
     /// By how much the answer took longer than the old version's, 0 for no more than usual, 1 for
     /// several times as long; high is bad.
-    pace,
+    latency,
 };
 
 inline constexpr std::size_t signal_count = 4;
@@ -30,15 +30,15 @@
 /// Parallel bets, each staking this share of the largest possible stake. Small ones find small
 /// differences late, large ones find large differences early; the mean of their wealth is within
 /// log(4) of the best of them.
-inline constexpr auto bet_shares = std::to_array({0.06, 0.2, 0.45, 0.8});
+inline constexpr auto bet_fractions = std::to_array({0.06, 0.2, 0.45, 0.8});
 
 /// How much worse the new version may be before that counts as worse, by signal, in units of the
 /// signal; and the probability with which a version that is not worse may ever be called so.
-struct guard_options {
+struct regression_detector_options {
     double rating_slack = 0.02;
     double error_slack = 0.01;
     double slow_slack = 0.05;
-    double pace_slack = 0.05;
+    double latency_slack = 0.05;
     /// Shares of the stake by signal, in the order of `signal`. A signal that is never observed
     /// should have none: what is staked on it is lost to the others.
     std::array<double, signal_count> weights{0.6, 0.3, 0.1, 0.0};
@@ -46,29 +46,29 @@
     double growth_slack = 0.05;
     double false_alarm = 0.01;
     /// Old observations needed before the first bet.
-    double least_reference = 20.0;
+    double min_baseline_count = 20.0;
     /// Old observations that the reference remembers.
-    double reference_memory = 4000.0;
+    double baseline_memory = 4000.0;
     /// Standard errors by which the reference is taken to be off, always against an alarm.
-    double reference_errors = 1.5;
+    double baseline_standard_errors = 1.5;
 };
 
 /// A mean and the number of observations behind it.
-struct known_mean {
+struct sample_mean {
     double value = 0.0;
     double count = 0.0;
 
-    auto operator==(const known_mean&) const -> bool = default;
+    auto operator==(const sample_mean&) const -> bool = default;
 };
 
 /// The mean over both.
-auto joined(const known_mean& one, const known_mean& other) -> known_mean;
+auto combined_mean(const sample_mean& one, const sample_mean& other) -> sample_mean;
 
 /// Logarithms of the wealth of all bets: `signal_count` blocks that bet on "worse", then one that
 /// bets on "not worse by growth_slack" by ratings. Vectors of several processes are added up.
 using wealth = std::vector<double>;
 
-inline constexpr std::size_t wealth_size = (signal_count + 1) * bet_shares.size();
+inline constexpr std::size_t wealth_size = (signal_count + 1) * bet_fractions.size();
 
 /// One process's evidence on a new version against the one that it replaces: a test by betting
 /// (Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting", 2023).
@@ -82,17 +82,17 @@
 ///
 /// The old version's mean is an estimate, taken at the end of its confidence interval that makes an
 /// alarm harder; else an estimate that happens to be high would make a good version look bad.
-class evidence {
+class regression_evidence {
 public:
-    explicit evidence(guard_options options);
+    explicit regression_evidence(regression_detector_options options);
 
-    auto add_old(signal what, double value) -> void;
-    auto add_new(signal what, double value) -> void;
+    auto add_baseline(signal what, double value) -> void;
+    auto add_candidate(signal what, double value) -> void;
 
     /// Bets against the old version's mean over all processes, once `count` is more than this
     /// process has seen itself. With many processes each sees little of it: at 390 entries, a
     /// thousand ratings of the old version would otherwise take an hour.
-    auto use_pooled(signal what, double mean, double count) -> void;
+    auto set_pooled_baseline(signal what, double mean, double count) -> void;
 
     /// How much worse the new version may be from now on, by this signal.
     auto set_slack(signal what, double slack) -> void;
@@ -100,23 +100,23 @@
     [[nodiscard]] auto log_wealth() const -> const wealth& { return this->logs; }
 
     /// What this process has seen itself of the old version, to be pooled.
-    [[nodiscard]] auto old_mean(signal what) const -> known_mean;
+    [[nodiscard]] auto baseline_mean(signal what) const -> sample_mean;
 
 private:
     struct reference {
-        forgetting_mean values;
-        known_mean pooled;
+        exponential_mean values;
+        sample_mean pooled;
         /// New observations that came before the reference was good enough to bet against.
         std::vector<double> waiting;
     };
 
-    [[nodiscard]] static auto best_mean(const reference& known) -> known_mean;
+    [[nodiscard]] static auto best_mean(const reference& known) -> sample_mean;
     [[nodiscard]] auto ready(const reference& known) const -> bool;
     [[nodiscard]] auto error_of(const reference& known) const -> double;
     auto bet_on_waiting(signal what) -> void;
     auto bet(signal what, double value) -> void;
 
-    guard_options options;
+    regression_detector_options options;
     std::array<reference, signal_count> references;
     wealth logs;
 };
@@ -125,14 +125,14 @@
 /// mean at the time when it was accepted.
 class drift_evidence {
 public:
-    drift_evidence(guard_options options, double accepted_mean);
+    drift_evidence(regression_detector_options options, double accepted_mean);
 
     auto add_rating(double value) -> void;
 
     [[nodiscard]] auto log_wealth() const -> const wealth& { return this->logs; }
 
 private:
-    guard_options options;
+    regression_detector_options options;
     double accepted_mean;
     wealth logs;
 };
@@ -142,7 +142,7 @@
 
 enum class verdict : std::uint8_t { undecided, not_worse, worse };
 
-struct judgement {
+struct evaluation {
     verdict decision = verdict::undecided;
     /// Logarithms of the mixed wealth of both sides; the alarm comes at log(1 / false_alarm).
     double log_against = 0.0;
@@ -152,7 +152,8 @@
 /// Judges summed wealth. `worse` has precedence. `not_worse` needs a wealth of 1/`doubt`, and that
 /// no signal speaks against the version: failed runs get no rating, so that a version which often
 /// fails may be rated well.
-auto judge(const wealth& total, const guard_options& options, double doubt) -> judgement;
+auto evaluate(const wealth& total, const regression_detector_options& options, double doubt)
+    -> evaluation;
 
 /// Finds a change in summed drift wealth: the largest rise since any earlier moment (CUSUM; Shin,
 /// Ramdas and Rinaldo, "E-detectors", 2023). While nothing changes, the mean number of ratings
--- a/source/core/router/peer_message.cpp
+++ b/source/core/router/peer_message.cpp
@@ -26,7 +26,7 @@
 auto fill_means(capnp::List<float>::Builder to, const routing::told_evidence& from) -> void
 {
     unsigned at = 0;
-    const auto add = [&to, &at](const policy::known_mean& mean) {
+    const auto add = [&to, &at](const policy::sample_mean& mean) {
         to.set(at++, static_cast<float>(mean.value));
         to.set(at++, static_cast<float>(mean.count));
     };
@@ -37,12 +37,12 @@
 auto read_means(capnp::List<float>::Reader from, routing::told_evidence& to) -> void
 {
     unsigned at = 0;
-    const auto next = [&from, &at](policy::known_mean& mean) {
+    const auto next = [&from, &at](policy::sample_mean& mean) {
         const double value = from[at++];
         const double count = from[at++];
         // What is no number would stay in every sum.
         const bool is_sound = std::isfinite(value) && std::isfinite(count) && count >= 0.0;
-        mean = is_sound ? policy::known_mean{value, count} : policy::known_mean{};
+        mean = is_sound ? policy::sample_mean{value, count} : policy::sample_mean{};
     };
     std::ranges::for_each(to.old_means, next);
     std::ranges::for_each(to.usual_times, next);
--- a/source/core/router/relay.cpp
+++ b/source/core/router/relay.cpp
@@ -40,7 +40,7 @@
     const auto& route = *this->request.route;
     this->give_up_at = std::min(this->request.caller.deadline, this->received + route.timeout);
     this->choose_target();
-    this->retries().note_first_try();
+    this->retries().record_first_attempt();
     // The connection outlives the request; a strong reference in its hook would keep both alive.
     this->out->on_disconnect([weak = this->weak_from_this()] {
         if (const auto self = weak.lock()) {
@@ -219,7 +219,7 @@
         this->give_up(result_code::ends_servers);
         return;
     }
-    if (this->may_send_again() && this->retries().take_retry()) {
+    if (this->may_send_again() && this->retries().try_acquire_retry()) {
         this->core->counters.resumed.add(this->is_streaming ? 1 : 0);
         this->send_next();
         return;
@@ -278,7 +278,7 @@
             }
             const bool is_silent = self->core->hooks.clock() - of->last_progress >= limit;
             // Without a second send the server is all there is: it may be slow, and not dead.
-            if (!is_silent || !self->may_leave_current() || !self->retries().take_retry()) {
+            if (!is_silent || !self->may_leave_current() || !self->retries().try_acquire_retry()) {
                 self->watch_for_stall(of);
                 return;
             }
--- a/source/core/router/relay_answers.cpp
+++ b/source/core/router/relay_answers.cpp
@@ -141,7 +141,7 @@
     // be cold, or evacuated by now. A second model draws on the budget of second sends as any other
     // send does.
     const bool is_dropped = !accepted && may_ask && this->may_go_on_after(of->server) &&
-                            this->retries().take_retry(retries_for_lost);
+                            this->retries().try_acquire_retry(retries_for_lost);
     if (!is_dropped) {
         return false;
     }
--- a/source/core/router/router_core.cpp
+++ b/source/core/router/router_core.cpp
@@ -380,7 +380,7 @@
 {
     this->options.retries = settings;
     for (auto& [service, budget] : this->retries) {
-        budget.change(settings);
+        budget.update_settings(settings);
     }
 }
 
--- a/source/core/routing/load_effect.hpp
+++ b/source/core/routing/load_effect.hpp
@@ -32,8 +32,8 @@
 
 private:
     struct route_means {
-        policy::forgetting_mean load;
-        policy::forgetting_mean pause;
+        policy::exponential_mean load;
+        policy::exponential_mean pause;
     };
 
     std::map<route_name, route_means> routes;
--- a/source/core/routing/server_choice.cpp
+++ b/source/core/routing/server_choice.cpp
@@ -59,7 +59,7 @@
     -> servers
 {
     // Few rank, so that few are looked up in the books.
-    const auto first = placement::first_by_affinity(
+    const auto first = placement::top_by_affinity(
         usable.size(),
         key,
         count,
--- a/source/core/routing/version_evidence.cpp
+++ b/source/core/routing/version_evidence.cpp
@@ -28,7 +28,9 @@
     auto found = this->routes.find(route);
     if (found == this->routes.end()) {
         found = this->routes
-                    .emplace(route, route_evidence{policy::evidence{this->settings.guard}, {}, 0.0})
+                    .emplace(
+                        route,
+                        route_evidence{policy::regression_evidence{this->settings.guard}, {}, 0.0})
                     .first;
         this->pool(route);
     }
@@ -40,10 +42,10 @@
 {
     this->known_against.reset();
     if (side == version_side::new_one) {
-        to.bets.add_new(what, value);
+        to.bets.add_candidate(what, value);
         return;
     }
-    to.bets.add_old(what, value);
+    to.bets.add_baseline(what, value);
 }
 
 auto version_evidence::add_outcome(const route_name& route, version_side side, bool is_good) -> void
@@ -73,14 +75,14 @@
 {
     auto& one = this->at(route);
     if (part == timed_part::plain_answer) {
-        one.bets.set_slack(policy::signal::pace, this->settings.plain_pace_slack);
+        one.bets.set_slack(policy::signal::latency, this->settings.plain_pace_slack);
     }
     const auto usual = this->usual_time(route, part);
     if (usual.count >= least_usual) {
         const auto slow = this->slowness(part, log_ms - usual.value);
         // One that was given up early says nothing: its whole time is not known.
         if (bound == time_bound::seen || slow > 0.0) {
-            this->add(one, policy::signal::pace, side, slow);
+            this->add(one, policy::signal::latency, side, slow);
         }
     }
     if (side == version_side::old && bound == time_bound::seen) {
@@ -98,16 +100,16 @@
 }
 
 auto version_evidence::usual_time(const route_name& route, timed_part part) const
-    -> policy::known_mean
+    -> policy::sample_mean
 {
-    policy::known_mean sum;
+    policy::sample_mean sum;
     if (const auto own = this->routes.find(route); own != this->routes.end()) {
         const auto& times = own->second.usual_times[index_of(part)];
         sum = {times.mean(), times.weight()};
     }
     for (const auto& [peer, words] : this->peers) {
         if (const auto found = words.find(route); found != words.end()) {
-            sum = policy::joined(sum, found->second.usual_times[index_of(part)]);
+            sum = policy::combined_mean(sum, found->second.usual_times[index_of(part)]);
         }
     }
     return sum;
@@ -130,13 +132,13 @@
     auto& bets = this->routes.at(route).bets;
     for (std::size_t i = 0; i < policy::signal_count; ++i) {
         const auto what = static_cast<policy::signal>(i);
-        auto sum = bets.old_mean(what);
+        auto sum = bets.baseline_mean(what);
         for (const auto& [peer, words] : this->peers) {
             if (const auto found = words.find(route); found != words.end()) {
-                sum = policy::joined(sum, found->second.old_means[i]);
+                sum = policy::combined_mean(sum, found->second.old_means[i]);
             }
         }
-        bets.use_pooled(what, sum.value, sum.count);
+        bets.set_pooled_baseline(what, sum.value, sum.count);
     }
 }
 
@@ -147,7 +149,7 @@
         told_evidence told;
         told.bets = one.bets.log_wealth();
         for (std::size_t i = 0; i < policy::signal_count; ++i) {
-            told.old_means[i] = one.bets.old_mean(static_cast<policy::signal>(i));
+            told.old_means[i] = one.bets.baseline_mean(static_cast<policy::signal>(i));
         }
         for (std::size_t i = 0; i < timed_part_count; ++i) {
             told.usual_times[i] = {one.usual_times[i].mean(), one.usual_times[i].weight()};
@@ -170,7 +172,7 @@
     policy::wealth total(policy::wealth_size, 0.0);
     double most = -std::numeric_limits<double>::infinity();
     const auto judged = [this](const policy::wealth& sum) {
-        return policy::judge(sum, this->settings.guard, doubt).log_against;
+        return policy::evaluate(sum, this->settings.guard, doubt).log_against;
     };
     for (const auto& [route, one] : this->routes) {
         policy::wealth sum = one.bets.log_wealth();
--- a/source/core/routing/version_evidence.hpp
+++ b/source/core/routing/version_evidence.hpp
@@ -7,8 +7,8 @@
 #include <optional>
 
 #include "common/ids.hpp"
-#include "policy/guard.hpp"
 #include "policy/quality.hpp"
+#include "policy/regression_detector.hpp"
 #include "routing/configuration.hpp"
 
 namespace reedramp::routing {
@@ -53,17 +53,17 @@
 };
 
 struct evidence_options {
-    policy::guard_options guard{
+    policy::regression_detector_options guard{
         .rating_slack = 0.02,
         .error_slack = 0.02,
         .slow_slack = 0.10,
-        .pace_slack = 0.06,
+        .latency_slack = 0.06,
         // Nothing here is rated. Pace shows most of what is slow; a late first event says less,
         // since prompts differ by tens.
         .weights = {0.0, 0.35, 0.15, 0.5},
         .growth_slack = 0.05,
         .false_alarm = 0.005,
-        .least_reference = 10.0};
+        .min_baseline_count = 10.0};
     /// A first event is slow when it takes this many times the old version's mean.
     double slow_factor = 3.0;
     slowness_scale streams{1.5, 3.0};
@@ -77,8 +77,8 @@
 struct told_evidence {
     policy::wealth bets;
     /// The old version's means by signal, and the logarithms of its usual times in ms.
-    std::array<policy::known_mean, policy::signal_count> old_means{};
-    std::array<policy::known_mean, timed_part_count> usual_times{};
+    std::array<policy::sample_mean, policy::signal_count> old_means{};
+    std::array<policy::sample_mean, timed_part_count> usual_times{};
 
     auto operator==(const told_evidence&) const -> bool = default;
 };
@@ -128,8 +128,8 @@
 
 private:
     struct route_evidence {
-        policy::evidence bets;
-        std::array<policy::forgetting_mean, timed_part_count> usual_times;
+        policy::regression_evidence bets;
+        std::array<policy::exponential_mean, timed_part_count> usual_times;
         /// Mean time to the old version's first event, in ms; 0 before the first.
         double old_first_event_ms = 0.0;
     };
@@ -139,7 +139,7 @@
     auto pool(const route_name& route) -> void;
     [[nodiscard]] auto sum_up() const -> sums;
     [[nodiscard]] auto usual_time(const route_name& route, timed_part part) const
-        -> policy::known_mean;
+        -> policy::sample_mean;
     /// 0 up to the usual time, 1 from several times on.
     [[nodiscard]] auto slowness(timed_part part, double log_ratio) const -> double;
 
--- a/source/core/session/named_session.cpp
+++ b/source/core/session/named_session.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-auto claim_of_name(
+auto make_name_claim(
     const common::organisation_id& organisation,
     const common::session_id& name,
     const common::model_id& model) -> name_claim
--- a/source/core/session/named_session.hpp
+++ b/source/core/session/named_session.hpp
@@ -16,7 +16,7 @@
     std::uint64_t body = 0;
 };
 
-auto claim_of_name(
+auto make_name_claim(
     const common::organisation_id& organisation,
     const common::session_id& name,
     const common::model_id& model) -> name_claim;
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -127,8 +127,8 @@
     placing.random = daemon::random_bits;
     placing.probe = this->peers->agents().probe;
     this->placer = entry::placer::create(this->settings.placer, std::move(placing), this->members);
-    this->shares = std::make_unique<limits::share_keeper>(
-        limits::share_settings{this->settings.self.host, this->settings.self.data_centre},
+    this->shares = std::make_unique<limits::shared_limiter>(
+        limits::shared_limiter_settings{this->settings.self.host, this->settings.self.data_centre},
         daemon::random_bits());
 }
 
@@ -226,7 +226,7 @@
                               const common::organisation_id& id,
                               const limits::amounts& expected,
                               const limits::amounts& used) {
-        this->shares->settle(id, expected, used);
+        this->shares->reconcile(id, expected, used);
     };
 }
 
--- a/source/entry/entry_process.hpp
+++ b/source/entry/entry_process.hpp
@@ -20,7 +20,7 @@
 #include "http/server.hpp"
 #include "inventory/follower.hpp"
 #include "inventory/publisher.hpp"
-#include "limits/share.hpp"
+#include "limits/shared_limiter.hpp"
 #include "membership/host_watch.hpp"
 #include "membership/readiness.hpp"
 #include "membership/view.hpp"
@@ -101,7 +101,7 @@
     std::shared_ptr<claims::keeper_set> keepers;
     std::shared_ptr<claim_route> claiming;
     std::shared_ptr<billing::collector> bills;
-    std::unique_ptr<limits::share_keeper> shares;
+    std::unique_ptr<limits::shared_limiter> shares;
     std::shared_ptr<administration> admin;
     std::unique_ptr<entry::version_policy> versions;
     std::shared_ptr<entry::core> core;
--- a/source/entry/entry_process_ticks.cpp
+++ b/source/entry/entry_process_ticks.cpp
@@ -54,7 +54,7 @@
 
 auto entry_process::send_gossip() -> void
 {
-    for (auto& report : this->shares->reports(daemon::boot_time())) {
+    for (auto& report : this->shares->make_reports(daemon::boot_time())) {
         const auto address = this->hosts->address_of(report.to);
         if (address.value().empty()) {
             continue;
--- a/source/unit_tests/control/rollout_test.cpp
+++ b/source/unit_tests/control/rollout_test.cpp
@@ -35,7 +35,7 @@
 auto report_of(const char* host, std::uint64_t sequence, int count, double old_score, double score)
     -> messages::gossip
 {
-    evidence_source seen{policy::guard_options{}};
+    evidence_source seen{policy::regression_detector_options{}};
     const auto current = running_state();
     for (int i = 0; i < 200; ++i) {
         seen.on_rating(current, old_version, old_score + (i % 2 == 0 ? 0.1 : -0.1));
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -474,7 +474,7 @@
     const auto budget = test.options.retries;
     CHECK(
         static_cast<double>(test.runs.size() - calls) <=
-        budget.most_saved + budget.retries_per_first_try * calls);
+        budget.max_saved + budget.retries_per_first_try * calls);
 }
 
 TEST_CASE("a second attempt needs a proof or a request that may run twice", "[recovery]")
--- a/source/unit_tests/limits/share_test.cpp
+++ b/source/unit_tests/limits/shared_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "limits/share.hpp"
+#include "limits/shared_limiter.hpp"
 
 #include <functional>
 #include <string>
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 using common::result_code;
 using limits::amounts;
-using limits::share_keeper;
+using limits::shared_limiter;
 
 namespace {
 
@@ -24,7 +24,7 @@
 /// Entries that exchange reports each second over a network where `hears(a, b)` says who reaches
 /// whom. Three data centres, taken in turns.
 struct fleet {
-    std::vector<std::unique_ptr<share_keeper>> keepers;
+    std::vector<std::unique_ptr<shared_limiter>> keepers;
     std::function<auto(std::size_t, std::size_t)->bool> hears = [](auto, auto) {
         return true;
     };
@@ -38,8 +38,8 @@
             peers.push_back({host(number), data_centre(number)});
         }
         for (std::size_t number = 0; number < count; ++number) {
-            this->keepers.push_back(std::make_unique<share_keeper>(
-                limits::share_settings{host(number), data_centre(number)}, number));
+            this->keepers.push_back(std::make_unique<shared_limiter>(
+                limits::shared_limiter_settings{host(number), data_centre(number)}, number));
             this->keepers.back()->set_limits({{organisation, limit}});
             this->keepers.back()->set_entries(peers);
         }
@@ -54,7 +54,7 @@
     auto exchange() -> void
     {
         for (std::size_t from = 0; from < this->keepers.size(); ++from) {
-            for (const auto& report : this->keepers[from]->reports(this->now)) {
+            for (const auto& report : this->keepers[from]->make_reports(this->now)) {
                 const auto to = std::stoul(report.to.value().substr(1));
                 if (this->hears(from, to)) {
                     const auto rows =
@@ -167,7 +167,7 @@
         {{{1, 0, 0}, result_code::limit_requests},
          {{0, 100, 0}, result_code::limit_tokens},
          {{9, 0, 10}, result_code::limit_money}}));
-    share_keeper keeper({host(0), fleet::data_centre(0)}, 1);
+    shared_limiter keeper({host(0), fleet::data_centre(0)}, 1);
     keeper.set_limits({{organisation, limit}});
     REQUIRE(keeper.admit(organisation, {1, 100, 10}, start));
     const auto refused = keeper.admit(organisation, {1, 100, 10}, start + 1s);
@@ -189,7 +189,7 @@
         entries.exchange();
         for (int number = 0; number < 20; ++number) {
             if (entries.keepers[0]->admit(organisation, {1, 100, 0}, now)) {
-                entries.keepers[0]->settle(organisation, {1, 100, 0}, {1, 400, 0});
+                entries.keepers[0]->reconcile(organisation, {1, 100, 0}, {1, 400, 0});
                 used += second >= 60 ? 400.0 : 0.0;
             }
         }
--- a/source/unit_tests/placement/fair_queue_test.cpp
+++ b/source/unit_tests/placement/fair_queue_test.cpp
@@ -181,7 +181,7 @@
     settings.run_margin = 3.0;
     fair_queue queue(settings);
     REQUIRE(queue.push(request(1, "a", 100, start + 2s), start));
-    CHECK(queue.take_hopeless(start + 1ms).empty());
+    CHECK(queue.take_infeasible(start + 1ms).empty());
     CHECK(queue.pop(start + 1ms));
 }
 
@@ -194,8 +194,8 @@
     REQUIRE(queue.pop(start));
     REQUIRE(queue.push(request(2, "b", 100, start + 3s), start));
     CHECK(queue.next_check() == start + 2s + 1ns);
-    CHECK(queue.take_hopeless(start + 2s).empty());
-    const auto hopeless = queue.take_hopeless(queue.next_check());
+    CHECK(queue.take_infeasible(start + 2s).empty());
+    const auto hopeless = queue.take_infeasible(queue.next_check());
     REQUIRE(hopeless.size() == 1);
     CHECK(hopeless[0].key.request.low == 2);
     CHECK(queue.next_check() == common::never);
--- a/source/unit_tests/placement/chooser_test.cpp
+++ b/source/unit_tests/placement/server_selector_test.cpp
@@ -1,4 +1,4 @@
-#include "placement/chooser.hpp"
+#include "placement/server_selector.hpp"
 
 #include <array>
 #include <map>
@@ -10,12 +10,12 @@
 using namespace reedramp;
 using namespace std::chrono_literals;
 using placement::candidate;
-using placement::chooser;
-using placement::chooser_settings;
-using placement::distance;
-using placement::place_reason;
-using placement::place_request;
+using placement::placement_reason;
+using placement::placement_request;
 using placement::probe_pool;
+using placement::server_distance;
+using placement::server_selector;
+using placement::server_selector_settings;
 
 namespace {
 
@@ -44,16 +44,17 @@
 {
     std::vector<candidate> made;
     for (std::size_t number = 0; number < near + far; ++number) {
-        const auto away = number < near ? distance::same_region : distance::other_region;
+        const auto distance =
+            number < near ? server_distance::same_region : server_distance::other_region;
         made.push_back(
-            placement::make_candidate(common::server_id("s" + std::to_string(number)), away));
+            placement::make_candidate(common::server_id("s" + std::to_string(number)), distance));
     }
     return made;
 }
 
-auto plain_request() -> place_request
+auto plain_request() -> placement_request
 {
-    place_request request;
+    placement_request request;
     request.version = version;
     return request;
 }
@@ -67,16 +68,16 @@
     const common::server_id server("s0");
     auto busy = answer("s0", 4, 300ms);
     busy.queued = 2;
-    pool.add(version, busy, distance::same_region, start);
-    pool.note_sent(version, server);
+    pool.add(version, busy, server_distance::same_region, start);
+    pool.record_send(version, server);
     const auto seen = pool.fresh(version, start);
     REQUIRE(seen.size() == 1);
     CHECK(seen[0].in_flight == 7);
     CHECK(seen[0].estimated_wait == 400ms);
-    pool.note_sent(version, server);
+    pool.record_send(version, server);
     CHECK(pool.fresh(version, start).empty());
 
-    pool.add(version, answer("s0", 1, 0ms), distance::same_region, start);
+    pool.add(version, answer("s0", 1, 0ms), server_distance::same_region, start);
     CHECK(pool.fresh(version, start + 1s).size() == 1);
     CHECK(pool.fresh(version, start + 1s + 1ns).empty());
     CHECK(pool.fresh(common::version_id("v2"), start).empty());
@@ -88,19 +89,19 @@
     // this entry may go there, although an answer of it is still fresh.
     const auto way = GENERATE("leaving", "other version", "forgotten", "pushed out");
     probe_pool pool({.capacity = 2, .lifetime = 10s, .uses = 2});
-    pool.add(version, answer("s0", 1, 0ms), distance::same_region, start);
+    pool.add(version, answer("s0", 1, 0ms), server_distance::same_region, start);
     auto news = answer("s0", 1, 0ms);
     news.leaving = way == std::string("leaving");
     news.serves_version = way != std::string("other version");
     if (way == std::string("forgotten")) {
-        pool.forget(common::server_id("s0"));
+        pool.remove_server(common::server_id("s0"));
     }
     else if (way == std::string("pushed out")) {
-        pool.add(version, answer("s1", 1, 0ms), distance::same_region, start + 1s);
-        pool.add(version, answer("s2", 1, 0ms), distance::same_region, start + 2s);
+        pool.add(version, answer("s1", 1, 0ms), server_distance::same_region, start + 1s);
+        pool.add(version, answer("s2", 1, 0ms), server_distance::same_region, start + 2s);
     }
     else {
-        pool.add(version, news, distance::same_region, start);
+        pool.add(version, news, server_distance::same_region, start);
     }
     for (const auto& item : pool.fresh(version, start)) {
         CHECK(item.server.value() != "s0");
@@ -137,16 +138,17 @@
     for (const auto& item : answers) {
         // The second server is in this entry's own data centre.
         const auto is_own = item.server.value() == "s1";
-        const auto away = is_own ? distance::same_data_centre : distance::same_region;
-        pool.add(version, item, away, start);
+        const auto distance =
+            is_own ? server_distance::same_data_centre : server_distance::same_region;
+        pool.add(version, item, distance, start);
     }
     auto request = plain_request();
     request.excluded.emplace_back("s3");
     const auto candidates = candidates_of(4);
-    const auto placed = chooser({}).place(request, candidates, pool, start, random_from(1));
+    const auto placed = server_selector({}).place(request, candidates, pool, start, random_from(1));
     REQUIRE(placed);
     CHECK(placed->server.value() == expected);
-    CHECK(placed->reason == place_reason::least_wait);
+    CHECK(placed->reason == placement_reason::least_wait);
     CHECK(placed->runner_up.value_or(common::server_id("")).value() == runner_up);
 }
 
@@ -158,36 +160,37 @@
         common::duration first_wait;
         common::duration second_wait;
         std::size_t taken;
-        place_reason reason;
+        placement_reason reason;
     };
 
     const auto [first_wait, second_wait, taken, reason] = GENERATE(
-        row{0ms, 0ms, 0, place_reason::session_server},
-        row{310ms, 0ms, 1, place_reason::session_server},
-        row{310ms, 400ms, 0, place_reason::session_server},
-        row{311ms, 310ms, 1, place_reason::session_server},
-        row{311ms, 311ms, 2, place_reason::least_wait});
+        row{0ms, 0ms, 0, placement_reason::session_server},
+        row{310ms, 0ms, 1, placement_reason::session_server},
+        row{310ms, 400ms, 0, placement_reason::session_server},
+        row{311ms, 310ms, 1, placement_reason::session_server},
+        row{311ms, 311ms, 2, placement_reason::least_wait});
     CAPTURE(first_wait.count(), second_wait.count());
-    chooser_settings settings;
-    settings.affinity_worth = 300ms;
+    server_selector_settings settings;
+    settings.affinity_wait_allowance = 300ms;
     settings.hot_quantile = 1.0;
-    const chooser place_by(settings);
+    const server_selector place_by(settings);
     const auto candidates = candidates_of(8);
     auto request = plain_request();
     request.session_hash = placement::affinity_hash("session");
-    const auto ranked = placement::preferred(candidates, request.session_hash, 3);
+    const auto ranked = placement::preferred_candidates(candidates, request.session_hash, 3);
     probe_pool pool({});
     const auto plan = place_by.plan(request, candidates, pool, 0, start, random_from(1));
-    CHECK(plan.ask == std::vector{ranked[0]});
+    CHECK(plan.targets == std::vector{ranked[0]});
     auto busy = answer(candidates[ranked[0]].server.value(), 3, 1s);
-    pool.add(version, busy, distance::same_region, start);
+    pool.add(version, busy, server_distance::same_region, start);
     const auto next = place_by.plan(request, candidates, pool, 1, start, random_from(1));
-    REQUIRE(next.ask.size() == 2);
-    CHECK(next.ask[0] == ranked[1]);
+    REQUIRE(next.targets.size() == 2);
+    CHECK(next.targets[0] == ranked[1]);
     const std::array waits{first_wait, second_wait, common::duration(10ms)};
     for (std::size_t rank = 0; rank < waits.size(); ++rank) {
         const auto& server = candidates[ranked[rank]].server;
-        pool.add(version, answer(server.value(), 3, waits[rank]), distance::same_region, start);
+        pool.add(
+            version, answer(server.value(), 3, waits[rank]), server_distance::same_region, start);
     }
     const auto placed = place_by.place(request, candidates, pool, start, random_from(1));
     REQUIRE(placed);
@@ -203,17 +206,17 @@
     std::map<std::string, int> keys;
     for (int number = 0; number < 10'000; ++number) {
         const auto key = placement::affinity_hash("key" + std::to_string(number));
-        const auto first = before[*placement::preferred(before, key)].server;
+        const auto first = before[*placement::preferred_candidates(before, key)].server;
         ++keys[first.value()];
         if (first != before[3].server) {
-            REQUIRE(after[*placement::preferred(after, key)].server == first);
+            REQUIRE(after[*placement::preferred_candidates(after, key)].server == first);
         }
     }
     REQUIRE(keys.size() == 10);
     for (const auto& [server, count] : keys) {
         CHECK(count == Approx(1000).margin(150));
     }
-    CHECK_FALSE(placement::preferred({}, 1));
+    CHECK_FALSE(placement::preferred_candidates({}, 1));
 }
 
 TEST_CASE("which servers are probed", "[chooser]")
@@ -241,16 +244,16 @@
     const auto candidates = candidates_of(near, far);
     probe_pool pool({});
     if (near > 0) {
-        pool.add(version, answer("s0", 1, near_wait), distance::same_region, start);
+        pool.add(version, answer("s0", 1, near_wait), server_distance::same_region, start);
     }
     const auto plan =
-        chooser({}).plan(plain_request(), candidates, pool, round, start, random_from(7));
-    CHECK(plan.ask.size() == asked);
-    CHECK(plan.place_at == (asked == 0 ? start : start + 20ms));
+        server_selector({}).plan(plain_request(), candidates, pool, round, start, random_from(7));
+    CHECK(plan.targets.size() == asked);
+    CHECK(plan.place_by == (asked == 0 ? start : start + 20ms));
     const auto is_far = [&candidates](std::size_t index) {
-        return candidates[index].away == distance::other_region;
+        return candidates[index].distance == server_distance::other_region;
     };
-    CHECK(std::ranges::count_if(plan.ask, is_far) == static_cast<std::ptrdiff_t>(asked_far));
+    CHECK(std::ranges::count_if(plan.targets, is_far) == static_cast<std::ptrdiff_t>(asked_far));
 }
 
 TEST_CASE("more servers are probed only when all known ones are busy", "[chooser]")
@@ -269,14 +272,14 @@
     INFO(name);
     const auto candidates = candidates_of(8);
     probe_pool pool({});
-    pool.add(version, answer("s0", 4, 5ms), distance::same_region, start);
-    pool.add(version, answer("s1", 4, wait), distance::same_region, start);
+    pool.add(version, answer("s0", 4, 5ms), server_distance::same_region, start);
+    pool.add(version, answer("s1", 4, wait), server_distance::same_region, start);
     auto request = plain_request();
     request.excluded.emplace_back(excluded);
-    const auto plan = chooser({}).plan(request, candidates, pool, 2, start, random_from(5));
-    CHECK(plan.ask.size() == asked);
-    CHECK(plan.place_at == (asked == 0 ? start : start + 20ms));
-    for (const auto index : plan.ask) {
+    const auto plan = server_selector({}).plan(request, candidates, pool, 2, start, random_from(5));
+    CHECK(plan.targets.size() == asked);
+    CHECK(plan.place_by == (asked == 0 ? start : start + 20ms));
+    for (const auto index : plan.targets) {
         CHECK(index >= 2);
     }
 }
@@ -289,10 +292,10 @@
     for (const std::string expected : {"s0 s1", "s1", "s2 s3", "s3", ""}) {
         const auto random = random_from(3);
         for (int round = 0; round < 20; ++round) {
-            const auto placed = chooser({}).place(request, candidates, pool, start, random);
+            const auto placed = server_selector({}).place(request, candidates, pool, start, random);
             REQUIRE(placed.has_value() == !expected.empty());
             if (placed) {
-                CHECK(placed->reason == place_reason::unprobed);
+                CHECK(placed->reason == placement_reason::unprobed);
                 CHECK(expected.find(placed->server.value()) != std::string::npos);
             }
         }
--- a/source/unit_tests/policy/chooser_test.cpp
+++ b/source/unit_tests/policy/option_choice_test.cpp
@@ -1,4 +1,4 @@
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 
 #include <random>
 
@@ -86,37 +86,37 @@
 TEST_CASE("a growing share only adds sessions")
 {
     for (std::uint64_t hash = 0; hash < 5000; hash += 7) {
-        if (in_share(hash, common::permille(50))) {
-            CHECK(in_share(hash, common::permille(200)));
+        if (is_in_rollout_share(hash, common::permille(50))) {
+            CHECK(is_in_rollout_share(hash, common::permille(200)));
         }
-        CHECK_FALSE(in_share(hash, common::permille(0)));
-        CHECK(in_share(hash, common::permille(1000)));
+        CHECK_FALSE(is_in_rollout_share(hash, common::permille(0)));
+        CHECK(is_in_rollout_share(hash, common::permille(1000)));
     }
 }
 
 TEST_CASE("estimates tighten with ratings and notice drift")
 {
-    quality_book book{quality_options{}};
+    quality_book tracker{quality_options{}};
     const common::task_name task("tagging");
-    book.set_prior(key("small"), task, 0.9);
-    CHECK(book.estimate(key("small"), task).mean == Approx(0.9));
+    tracker.set_prior(key("small"), task, 0.9);
+    CHECK(tracker.estimate(key("small"), task).mean == Approx(0.9));
 
     std::mt19937_64 random(3);
     std::normal_distribution<double> good(0.8, 0.1);
     for (int i = 0; i < 2000; ++i) {
-        CHECK_FALSE(book.add(key("small"), task, good(random)));
+        CHECK_FALSE(tracker.add(key("small"), task, good(random)));
     }
-    const auto before = book.estimate(key("small"), task);
+    const auto before = tracker.estimate(key("small"), task);
     CHECK(before.mean == Approx(0.8).margin(0.02));
     CHECK(before.upper - before.lower < 0.02);
 
     std::normal_distribution<double> bad(0.5, 0.1);
     bool noticed = false;
     for (int i = 0; i < 60; ++i) {
-        noticed = book.add(key("small"), task, bad(random)) || noticed;
+        noticed = tracker.add(key("small"), task, bad(random)) || noticed;
     }
     CHECK(noticed);
-    CHECK(book.estimate(key("small"), task).upper < 0.75);
+    CHECK(tracker.estimate(key("small"), task).upper < 0.75);
 }
 
 TEST_CASE("the account lets a cheap and a dear option alternate until their mean meets the target")
@@ -125,7 +125,7 @@
         make_option(key("small"), 10, 0.70, 0.72),
         make_option(key("large"), 90, 0.90, 0.92),
     };
-    quality_account account;
+    quality_price_controller account;
     double quality = 0.0;
     double cost = 0.0;
     constexpr int requests = 2000;
@@ -137,7 +137,7 @@
         const auto made = choose(input);
         REQUIRE(made);
         const auto& taken = made->key == key("small") ? options[0] : options[1];
-        account.book(taken.quality, input.quality_target, options[1].expected_cost);
+        account.update(taken.quality, input.quality_target, options[1].expected_cost);
         quality += taken.quality.lower / requests;
         cost += static_cast<double>(taken.expected_cost.value()) / requests;
     }
--- a/source/unit_tests/policy/guard_test.cpp
+++ b/source/unit_tests/policy/regression_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "policy/guard.hpp"
+#include "policy/regression_detector.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -17,7 +17,7 @@
 constexpr int old_ratings_each = 20;
 
 struct truth {
-    double old_mean;
+    double baseline_mean;
     double new_mean;
 };
 
@@ -33,26 +33,27 @@
     -> std::optional<int>
 {
     std::mt19937_64 random(seed);
-    const guard_options options;
-    std::vector<evidence> parts(static_cast<std::size_t>(processes), evidence(options));
+    const regression_detector_options options;
+    std::vector<regression_evidence> parts(
+        static_cast<std::size_t>(processes), regression_evidence(options));
     double old_sum = 0.0;
     double old_count = 0.0;
     for (int step = 1; step <= limit; ++step) {
         auto& part = parts[static_cast<std::size_t>(step % processes)];
         for (int i = 0; i < old_ratings_each; ++i) {
-            const double score = draw(random, scene.old_mean);
-            part.add_old(signal::rating, score);
+            const double score = draw(random, scene.baseline_mean);
+            part.add_baseline(signal::rating, score);
             old_sum += score;
             ++old_count;
         }
         // As entries do, each bets against the mean over all of them.
-        part.use_pooled(signal::rating, old_sum / old_count, old_count);
-        part.add_new(signal::rating, draw(random, scene.new_mean));
+        part.set_pooled_baseline(signal::rating, old_sum / old_count, old_count);
+        part.add_candidate(signal::rating, draw(random, scene.new_mean));
         wealth total;
         for (const auto& each : parts) {
             add_wealth(total, each.log_wealth());
         }
-        if (judge(total, options, doubt).decision == wanted) {
+        if (evaluate(total, options, doubt).decision == wanted) {
             return step;
         }
     }
@@ -105,25 +106,27 @@
 TEST_CASE("errors and slow answers raise the alarm without any rating")
 {
     for (const auto what : {signal::error, signal::slow}) {
-        evidence seen{guard_options{}};
+        regression_evidence seen{regression_detector_options{}};
         for (int i = 0; i < 100; ++i) {
-            seen.add_old(what, 0.0);
+            seen.add_baseline(what, 0.0);
         }
         for (int i = 0; i < 40; ++i) {
-            seen.add_old(what, 0.0);
-            seen.add_new(what, i % 2 == 0 ? 1.0 : 0.0);
+            seen.add_baseline(what, 0.0);
+            seen.add_candidate(what, i % 2 == 0 ? 1.0 : 0.0);
         }
-        CHECK(judge(seen.log_wealth(), guard_options{}, doubt).decision == verdict::worse);
+        CHECK(
+            evaluate(seen.log_wealth(), regression_detector_options{}, doubt).decision ==
+            verdict::worse);
     }
 }
 
 TEST_CASE("scores that are not numbers from 0 to 1 do not break the wealth")
 {
-    evidence seen{guard_options{}};
+    regression_evidence seen{regression_detector_options{}};
     for (int i = 0; i < 30; ++i) {
         for (const double score : {std::nan(""), -1e9, 1e9, HUGE_VAL}) {
-            seen.add_old(signal::rating, score);
-            seen.add_new(signal::rating, score);
+            seen.add_baseline(signal::rating, score);
+            seen.add_candidate(signal::rating, score);
         }
     }
     CHECK(seen.log_wealth().front() != 0.0);
@@ -137,7 +140,7 @@
     wealth total;
     add_wealth(total, std::vector<double>{5.0, 5.0});
     CHECK(total == wealth(wealth_size, 0.0));
-    CHECK(judge({1.0}, guard_options{}, doubt).decision == verdict::undecided);
+    CHECK(evaluate({1.0}, regression_detector_options{}, doubt).decision == verdict::undecided);
 }
 
 TEST_CASE("a version that turns bad after its roll-out is found; a steady one is not")
@@ -151,7 +154,7 @@
 
     for (const auto& each : {row{0.5, true}, row{0.8, false}}) {
         std::mt19937_64 random(7);
-        drift_evidence seen(guard_options{}, 0.78);
+        drift_evidence seen(regression_detector_options{}, 0.78);
         drift_detector detector(1e5);
         bool found = false;
         for (int i = 0; i < 3000; ++i) {
--- a/source/unit_tests/router/relay_test.cpp
+++ b/source/unit_tests/router/relay_test.cpp
@@ -285,7 +285,7 @@
     // first events take longer than usual. With its budget of second sends used up, the entry
     // dropped streams that were about to begin, and told their callers that they were broken.
     world all;
-    all.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 0.0});
+    all.core->change_retries({.retries_per_first_try = 0.0, .max_saved = 0.0});
     const auto out = all.ask(stream);
     all.advance(seconds{3});
     CHECK(all.sends() == 1);
@@ -387,7 +387,7 @@
 TEST_CASE("larger models leave second sends to requests that lose their server", "[relay]")
 {
     world all;
-    all.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 9.0});
+    all.core->change_retries({.retries_per_first_try = 0.0, .max_saved = 9.0});
     const auto first = all.ask(stream);
     all.last().head(200, {{"Reedramp-Confidence", "10"}});
     CHECK(all.sends() == 2);
@@ -462,7 +462,7 @@
     // Every answer is lost. Without a bound each request would be sent twice, and a service that
     // fails under its load would get twice the load.
     world all;
-    all.core->change_retries({.retries_per_first_try = 0.1, .most_saved = 2.0});
+    all.core->change_retries({.retries_per_first_try = 0.1, .max_saved = 2.0});
     std::size_t seconds_sent = 0;
     for (int i = 0; i < 100; ++i) {
         const auto before = all.sends();
--- a/source/unit_tests/session/session_test.cpp
+++ b/source/unit_tests/session/session_test.cpp
@@ -145,10 +145,10 @@
     using common::model_id;
     using common::organisation_id;
     using common::session_id;
-    const auto first = claim_of_name(organisation_id{"ab"}, session_id{"c"}, model_id{"m"});
-    CHECK(first.key == claim_of_name(organisation_id{"ab"}, session_id{"c"}, model_id{"m"}).key);
-    CHECK(first.key != claim_of_name(organisation_id{"a"}, session_id{"bc"}, model_id{"m"}).key);
-    const auto other = claim_of_name(organisation_id{"ab"}, session_id{"c"}, model_id{"n"});
+    const auto first = make_name_claim(organisation_id{"ab"}, session_id{"c"}, model_id{"m"});
+    CHECK(first.key == make_name_claim(organisation_id{"ab"}, session_id{"c"}, model_id{"m"}).key);
+    CHECK(first.key != make_name_claim(organisation_id{"a"}, session_id{"bc"}, model_id{"m"}).key);
+    const auto other = make_name_claim(organisation_id{"ab"}, session_id{"c"}, model_id{"n"});
     CHECK(first.key == other.key);
     CHECK(first.body != other.body);
 }
--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -246,8 +246,9 @@
          this->random,
          this->net.agents_for(node.alive).probe},
         node.members);
-    node.shares = std::make_shared<limits::share_keeper>(
-        limits::share_settings{node.host, common::data_centre_id(data_centre)}, this->random());
+    node.shares = std::make_shared<limits::shared_limiter>(
+        limits::shared_limiter_settings{node.host, common::data_centre_id(data_centre)},
+        this->random());
 }
 
 auto fleet::make_claims(entry_node& node) -> void
@@ -307,7 +308,7 @@
         return at->shares->admit(owner, expected, this->time.now());
     };
     parts.settle_limits = [at](const auto& owner, const auto& expected, const auto& used) {
-        at->shares->settle(owner, expected, used);
+        at->shares->reconcile(owner, expected, used);
     };
     parts.place = [at](auto question, auto done) {
         at->placer->place(std::move(question), std::move(done));
--- a/source/unit_tests/whole_path/fleet.hpp
+++ b/source/unit_tests/whole_path/fleet.hpp
@@ -17,7 +17,7 @@
 #include "entry/version_policy.hpp"
 #include "inventory/follower.hpp"
 #include "inventory/publisher.hpp"
-#include "limits/share.hpp"
+#include "limits/shared_limiter.hpp"
 #include "membership/host_watch.hpp"
 #include "membership/view.hpp"
 #include "network.hpp"
@@ -87,7 +87,7 @@
     std::shared_ptr<claims::keeper_set> keepers;
     std::shared_ptr<entry_program::claim_route> claiming;
     std::shared_ptr<billing::collector> bills;
-    std::shared_ptr<limits::share_keeper> shares;
+    std::shared_ptr<limits::shared_limiter> shares;
     std::shared_ptr<entry::version_policy> versions;
     std::shared_ptr<entry::core> core;
     /// Calls on open connections that the process has not read yet.
