--- a/source/bench/policy_bench.cpp
+++ b/source/bench/policy_bench.cpp
@@ -293,7 +293,7 @@
     const user& owner;
     choice_mode mode;
     world draws;
-    policy::quality_book book;
+    policy::quality_tracker book;
     std::vector<policy::option_key> keys;
     std::vector<double> costs;
     std::array<policy::quality_account, 8> accounts;
--- a/source/core/entry/version_policy.hpp
+++ b/source/core/entry/version_policy.hpp
@@ -90,7 +90,7 @@
         version_decision decision) const -> version_decision;
 
     version_policy_settings settings;
-    policy::quality_book quality;
+    policy::quality_tracker quality;
     control::awaiting_ratings awaiting;
     control::evidence_source own_evidence;
     control::evidence_board board;
--- a/source/core/policy/quality.cpp
+++ b/source/core/policy/quality.cpp
@@ -35,16 +35,16 @@
     this->spread = (1.0 - step) * (this->spread + step * off * off);
 }
 
-quality_book::quality_book(quality_options chosen) : options(chosen) {}
+quality_tracker::quality_tracker(quality_options chosen) : options(chosen) {}
 
-auto quality_book::set_prior(const option_key& option, const common::task_name& task, double mean)
-    -> void
+auto quality_tracker::set_prior(
+    const option_key& option, const common::task_name& task, double mean) -> void
 {
     const auto key = record_key(option, task);
     this->records.with_shard(key, [&](auto& entries) { entries[key].prior = mean; });
 }
 
-auto quality_book::add(const option_key& option, const common::task_name& task, double score)
+auto quality_tracker::add(const option_key& option, const common::task_name& task, double score)
     -> bool
 {
     if (std::isnan(score)) {
@@ -65,7 +65,7 @@
     });
 }
 
-auto quality_book::drifted(const record& seen) const -> bool
+auto quality_tracker::drifted(const record& seen) const -> bool
 {
     // Before twice the quick memory the two means hold mostly the same ratings.
     if (seen.slow.weight() < 2.0 * this->options.quick_memory) {
@@ -78,7 +78,7 @@
     return apart > this->options.drift_errors * quick_error;
 }
 
-auto quality_book::estimate(const option_key& option, const common::task_name& task)
+auto quality_tracker::estimate(const option_key& option, const common::task_name& task)
     -> quality_estimate
 {
     const auto key = record_key(option, task);
--- a/source/core/policy/quality.hpp
+++ b/source/core/policy/quality.hpp
@@ -64,9 +64,9 @@
 /// Estimates of the mean rating of each option in each task, from ratings that come late or never.
 /// The requests to be rated are drawn at random by the entry, whatever was answered; a share that
 /// depended on the answer would bias the mean. Safe for several threads.
-class quality_book {
+class quality_tracker {
 public:
-    explicit quality_book(quality_options options);
+    explicit quality_tracker(quality_options options);
 
     /// Sets the operator's expectation; used until ratings outweigh it.
     auto set_prior(const option_key& option, const common::task_name& task, double mean) -> void;
--- a/source/core/router/barred_records.cpp
+++ b/source/core/router/barred_records.cpp
@@ -14,7 +14,7 @@
 /// After a call that failed.
 constexpr std::chrono::milliseconds pause{500};
 
-auto log_record(const std::string& what, routing::request_print print, bool is_done) -> void
+auto log_record(const std::string& what, routing::request_fingerprint print, bool is_done) -> void
 {
     common::log(
         common::log_part::place,
@@ -49,7 +49,7 @@
     }
 }
 
-auto barred_records::write(const routing::told_barred& one) -> void
+auto barred_records::write(const routing::barred_report& one) -> void
 {
     this->is_busy = true;
     const auto age = static_cast<std::uint64_t>(one.age.count());
--- a/source/core/router/barred_records.hpp
+++ b/source/core/router/barred_records.hpp
@@ -29,7 +29,7 @@
     auto take(const std::vector<barred_record>& all) -> void;
 
 private:
-    auto write(const routing::told_barred& one) -> void;
+    auto write(const routing::barred_report& one) -> void;
     auto drop(const barred_record& one) -> void;
     [[nodiscard]] auto unix_ms() const -> std::uint64_t;
 
--- a/source/core/router/crash_courier.cpp
+++ b/source/core/router/crash_broadcaster.cpp
@@ -1,4 +1,4 @@
-#include "router/crash_courier.hpp"
+#include "router/crash_broadcaster.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,7 @@
 constexpr std::size_t most_barred = 16;
 
 /// Adds what was told `ago`, to be told for the second time.
-auto add_again(crash_news& to, const crash_news& told, std::chrono::milliseconds ago) -> void
+auto add_again(crash_update& to, const crash_update& told, std::chrono::milliseconds ago) -> void
 {
     for (auto one : told.lost) {
         one.age += ago;
@@ -29,15 +29,15 @@
 
 } // namespace
 
-crash_courier::crash_courier(
+crash_broadcaster::crash_broadcaster(
     std::shared_ptr<router_core> core_to_tell_of,
     common::host_id own_host,
-    crash_courier_hooks hooks_to_use)
+    crash_broadcaster_hooks hooks_to_use)
     : core(std::move(core_to_tell_of)), self(std::move(own_host)), hooks(std::move(hooks_to_use))
 {
 }
 
-auto crash_courier::tick() -> void
+auto crash_broadcaster::tick() -> void
 {
     const auto now = this->core->hooks.clock();
     this->check_doubtful();
@@ -46,9 +46,9 @@
     this->tell_next();
 }
 
-auto crash_courier::tell(time_point now) -> void
+auto crash_broadcaster::tell(time_point now) -> void
 {
-    crash_news news{
+    crash_update news{
         this->self,
         this->core->crashes.take_losses(now),
         this->core->crashes.take_served(now),
@@ -61,7 +61,7 @@
     this->tell_all(news);
 }
 
-auto crash_courier::tell_all(const crash_news& news) const -> void
+auto crash_broadcaster::tell_all(const crash_update& news) const -> void
 {
     const auto datagrams = encode_datagrams(news);
     if (datagrams.empty()) {
@@ -74,20 +74,20 @@
     }
 }
 
-auto crash_courier::barred_news(time_point now) const -> crash_news
+auto crash_broadcaster::barred_news(time_point now) const -> crash_update
 {
     return {
         this->self, {}, {}, this->core->crashes.tell_barred(most_barred, now), this->core->era()};
 }
 
-auto crash_courier::tell_barred(const http::endpoint& to) const -> void
+auto crash_broadcaster::tell_barred(const http::endpoint& to) const -> void
 {
     for (const auto& bytes : encode_datagrams(this->barred_news(this->core->hooks.clock()))) {
         this->hooks.send(to, bytes);
     }
 }
 
-auto crash_courier::tell_next() -> void
+auto crash_broadcaster::tell_next() -> void
 {
     if (!this->core->crashes.has_barred()) {
         return;
@@ -101,7 +101,7 @@
     this->tell_barred(this->told_last);
 }
 
-auto crash_courier::check_doubtful() -> void
+auto crash_broadcaster::check_doubtful() -> void
 {
     for (const auto& start : this->core->crashes.take_doubtful()) {
         const auto* known = this->core->servers.find(start.id);
@@ -123,7 +123,7 @@
     }
 }
 
-auto crash_courier::judge(time_point now) -> void
+auto crash_broadcaster::judge(time_point now) -> void
 {
     bool is_own = false;
     for (const auto& one : this->core->crashes.judge(now)) {
@@ -140,7 +140,7 @@
     }
 }
 
-auto crash_courier::hear(std::string_view datagram) -> void
+auto crash_broadcaster::hear(std::string_view datagram) -> void
 {
     const auto news = decode_crash_news(datagram);
     if (!news) {
--- a/source/core/router/crash_courier.hpp
+++ b/source/core/router/crash_broadcaster.hpp
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "router/crash_news.hpp"
+#include "router/crash_update.hpp"
 #include "router/router_core.hpp"
 
 namespace reedramp::router {
 
-struct crash_courier_hooks {
+struct crash_broadcaster_hooks {
     std::function<auto(const http::endpoint& to, const std::string& bytes)->void> send;
     /// All other entries that live.
     std::function<auto()->std::vector<http::endpoint>> everyone;
@@ -31,10 +31,10 @@
 /// it has lost itself, twice, since datagrams get lost: some 24 bytes a request, while servers end.
 /// An entry that was out of touch meanwhile hears which requests are barred from those that lost
 /// them, at once, and from all others in turn.
-class crash_courier : public std::enable_shared_from_this<crash_courier> {
+class crash_broadcaster : public std::enable_shared_from_this<crash_broadcaster> {
 public:
-    crash_courier(
-        std::shared_ptr<router_core> core, common::host_id host, crash_courier_hooks hooks);
+    crash_broadcaster(
+        std::shared_ptr<router_core> core, common::host_id host, crash_broadcaster_hooks hooks);
 
     /// Tells what has come since the last call, and judges. Some times a second.
     auto tick() -> void;
@@ -50,14 +50,14 @@
     auto check_doubtful() -> void;
     auto judge(time_point now) -> void;
     auto tell_next() -> void;
-    auto tell_all(const crash_news& news) const -> void;
-    [[nodiscard]] auto barred_news(time_point now) const -> crash_news;
+    auto tell_all(const crash_update& news) const -> void;
+    [[nodiscard]] auto barred_news(time_point now) const -> crash_update;
 
     std::shared_ptr<router_core> core;
     common::host_id self;
-    crash_courier_hooks hooks;
+    crash_broadcaster_hooks hooks;
     /// What was told once, and when.
-    crash_news told_once;
+    crash_update told_once;
     time_point told_at{};
     /// The entry that was told last which requests are barred.
     http::endpoint told_last;
--- a/source/core/router/crash_news.cpp
+++ b/source/core/router/crash_update.cpp
@@ -1,4 +1,4 @@
-#include "router/crash_news.hpp"
+#include "router/crash_update.hpp"
 
 #include <algorithm>
 #include <span>
@@ -28,7 +28,7 @@
     return std::span{all}.subspan(first, std::min(most_in_datagram, all.size() - first));
 }
 
-auto encode_part(const crash_news& news, std::size_t number) -> std::string
+auto encode_part(const crash_update& news, std::size_t number) -> std::string
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::CrashNews>();
@@ -59,25 +59,26 @@
     return std::string{mark} + flat_bytes(message);
 }
 
-auto read_news(schema::CrashNews::Reader from) -> crash_news
+auto read_news(schema::CrashNews::Reader from) -> crash_update
 {
-    crash_news news;
+    crash_update news;
     news.host = common::host_id{text_of(from.getHost())};
     news.era = from.getEra();
     for (const auto one : from.getLost()) {
         news.lost.push_back(
-            {routing::request_print{one.getPrint()},
+            {routing::request_fingerprint{one.getPrint()},
              one.getServer(),
              std::chrono::milliseconds{one.getAgeMs()},
              std::chrono::milliseconds{one.getSentAgeMs()}});
     }
     for (const auto one : from.getServed()) {
         news.served.push_back(
-            {routing::request_print{one.getPrint()}, std::chrono::milliseconds{one.getAgeMs()}});
+            {routing::request_fingerprint{one.getPrint()},
+             std::chrono::milliseconds{one.getAgeMs()}});
     }
     for (const auto one : from.getBarred()) {
         news.barred.push_back(
-            {routing::request_print{one.getPrint()},
+            {routing::request_fingerprint{one.getPrint()},
              std::chrono::milliseconds{one.getAgeMs()},
              std::chrono::milliseconds{one.getUnseenMs()},
              one.getIsRecorded()});
@@ -87,7 +88,7 @@
 
 } // namespace
 
-auto encode_datagrams(const crash_news& news) -> std::vector<std::string>
+auto encode_datagrams(const crash_update& news) -> std::vector<std::string>
 {
     std::vector<std::string> all;
     const auto most = std::max({news.lost.size(), news.served.size(), news.barred.size()});
@@ -97,15 +98,15 @@
     return all;
 }
 
-auto is_crash_news(std::string_view datagram) -> bool
+auto is_crash_update(std::string_view datagram) -> bool
 {
     return datagram.starts_with(mark);
 }
 
-auto decode_crash_news(std::string_view bytes) -> common::result<crash_news>
+auto decode_crash_news(std::string_view bytes) -> common::result<crash_update>
 {
-    crash_news news;
-    const bool is_read = is_crash_news(bytes) &&
+    crash_update news;
+    const bool is_read = is_crash_update(bytes) &&
                          read_flat<schema::CrashNews>(
                              bytes.substr(mark.size()),
                              datagram_words,
--- a/source/core/router/evacuations.cpp
+++ b/source/core/router/evacuations.cpp
@@ -5,7 +5,7 @@
 namespace reedramp::router {
 
 auto router_core::learn_evacuations(
-    const routing::told_evacuations& known, const std::string& told_by) -> void
+    const routing::evacuation_report& known, const std::string& told_by) -> void
 {
     const auto changed = this->evacuations.replace(known);
     this->on_evacuations(changed, told_by);
--- a/source/core/router/list_courier.cpp
+++ b/source/core/router/list_broadcaster.cpp
@@ -1,4 +1,4 @@
-#include "router/list_courier.hpp"
+#include "router/list_broadcaster.hpp"
 
 #include <utility>
 
@@ -26,20 +26,20 @@
 
 } // namespace
 
-list_courier::list_courier(
+list_broadcaster::list_broadcaster(
     std::shared_ptr<router_core> core_to_use,
     std::shared_ptr<servers_list> list_to_hand_on,
     common::host_id host,
     http::endpoint address,
-    courier_hooks hooks_to_use)
+    list_broadcaster_hooks hooks_to_use)
     : core(std::move(core_to_use)), list(std::move(list_to_hand_on)), self(std::move(host)),
       own_address(std::move(address)), hooks(std::move(hooks_to_use))
 {
 }
 
-auto list_courier::news_of(list_part part) const -> list_news
+auto list_broadcaster::news_of(list_part part) const -> list_update
 {
-    list_news news;
+    list_update news;
     news.host = this->self;
     news.address = http::to_string(this->own_address);
     news.data_centre = this->core->options.data_centre;
@@ -50,7 +50,7 @@
     return news;
 }
 
-auto list_courier::publish(const list_part& read) -> void
+auto list_broadcaster::publish(const list_part& read) -> void
 {
     this->told_by.clear();
     auto part = read;
@@ -68,7 +68,7 @@
     }
 }
 
-auto list_courier::pass_on(const list_news& heard, const news_audience& to) -> void
+auto list_broadcaster::pass_on(const list_update& heard, const update_recipients& to) -> void
 {
     const bool is_from_afar = heard.data_centre != this->core->options.data_centre;
     if (!is_from_afar || !to.passes_on) {
@@ -81,7 +81,7 @@
     }
 }
 
-auto list_courier::hear(std::string_view datagram) -> void
+auto list_broadcaster::hear(std::string_view datagram) -> void
 {
     const auto news = decode_datagram(datagram);
     if (!news) {
@@ -98,7 +98,7 @@
     this->take(*news, *from);
 }
 
-auto list_courier::take(const list_news& news, const http::endpoint& from) -> void
+auto list_broadcaster::take(const list_update& news, const http::endpoint& from) -> void
 {
     const auto now = this->core->hooks.clock();
     if (this->is_ahead_of_store(news)) {
@@ -119,7 +119,7 @@
     this->compare(news, from);
 }
 
-auto list_courier::is_ahead_of_store(const list_news& news) const -> bool
+auto list_broadcaster::is_ahead_of_store(const list_update& news) const -> bool
 {
     const auto known_to = this->list->known_to();
     const auto read_at = this->core->hooks.clock() - news.freshness.age;
@@ -128,7 +128,7 @@
            read_at > this->core->freshness.known_current_at() + ages_wrong_by;
 }
 
-auto list_courier::compare(const list_news& news, const http::endpoint& from) -> void
+auto list_broadcaster::compare(const list_update& news, const http::endpoint& from) -> void
 {
     const auto now = this->core->hooks.clock();
     const bool differs =
@@ -151,12 +151,13 @@
     }
 }
 
-auto list_courier::fetch_from(const http::endpoint& neighbour) -> void
+auto list_broadcaster::fetch_from(const http::endpoint& neighbour) -> void
 {
     this->ask(neighbour, this->list->known_to());
 }
 
-auto list_courier::ask(const http::endpoint& neighbour, std::optional<std::uint64_t> since) -> void
+auto list_broadcaster::ask(const http::endpoint& neighbour, std::optional<std::uint64_t> since)
+    -> void
 {
     const auto now = this->core->hooks.clock();
     if (now < this->ask_again_at) {
@@ -172,8 +173,8 @@
         });
 }
 
-auto list_courier::on_answer(const http::endpoint& from, const common::result<std::string>& body)
-    -> void
+auto list_broadcaster::on_answer(
+    const http::endpoint& from, const common::result<std::string>& body) -> void
 {
     if (!body) {
         return; // Another neighbour's words ask again, or the store is read.
@@ -190,7 +191,7 @@
     }
 }
 
-auto list_courier::answer(std::optional<std::uint64_t> since) const -> std::string
+auto list_broadcaster::answer(std::optional<std::uint64_t> since) const -> std::string
 {
     if (!this->list->known_to()) {
         return {};
@@ -198,7 +199,7 @@
     return encode_answer(this->news_of(this->list->part_since(since)));
 }
 
-auto list_courier::reject(const std::string& from, const common::error& why) -> void
+auto list_broadcaster::reject(const std::string& from, const common::error& why) -> void
 {
     this->core->counters.list_rejected.add();
     const auto now = this->core->hooks.clock();
--- a/source/core/router/list_courier.hpp
+++ b/source/core/router/list_broadcaster.hpp
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "router/list_news.hpp"
+#include "router/list_update.hpp"
 #include "router/servers_list.hpp"
 
 namespace reedramp::router {
 
 /// Whom an entry hands news of the servers' list on to.
-struct news_audience {
+struct update_recipients {
     /// Living entries of its own data centre.
     std::vector<http::endpoint> near;
     /// Of each other data centre the few that pass it on there.
@@ -23,7 +23,7 @@
     bool passes_on = true;
 };
 
-struct courier_hooks {
+struct list_broadcaster_hooks {
     std::function<auto(const http::endpoint& to, const std::string& bytes)->void> send;
     /// Asks a neighbour for what follows a position, or for the whole list.
     std::function<auto(
@@ -32,9 +32,9 @@
                       answer_hook<std::string> done)
                       ->void>
         ask;
-    std::function<auto()->news_audience> audience;
+    std::function<auto()->update_recipients> audience;
     /// News have come from that entry, which lives. May be empty.
-    std::function<auto(const list_news& from, const http::endpoint& where)->void> on_heard = {};
+    std::function<auto(const list_update& from, const http::endpoint& where)->void> on_heard = {};
 };
 
 /// Hands what one entry has read of the servers' list on to all others, so that calls to the store
@@ -44,14 +44,14 @@
 /// which pass it on: two steps at any size. What is lost on the way shows in the next words of any
 /// peer, as a change that this entry lacks, and is asked for; what no neighbour gives is read from
 /// the store. A list that differs without a missing change is repaired with a neighbour's.
-class list_courier : public std::enable_shared_from_this<list_courier> {
+class list_broadcaster : public std::enable_shared_from_this<list_broadcaster> {
 public:
-    list_courier(
+    list_broadcaster(
         std::shared_ptr<router_core> core,
         std::shared_ptr<servers_list> list,
         common::host_id host,
         http::endpoint own_address,
-        courier_hooks hooks);
+        list_broadcaster_hooks hooks);
 
     /// This entry has read the store.
     auto publish(const list_part& read) -> void;
@@ -70,13 +70,13 @@
     [[nodiscard]] auto source() const -> const std::string& { return this->told_by; }
 
 private:
-    [[nodiscard]] auto news_of(list_part part) const -> list_news;
-    auto pass_on(const list_news& heard, const news_audience& to) -> void;
-    auto take(const list_news& news, const http::endpoint& from) -> void;
+    [[nodiscard]] auto news_of(list_part part) const -> list_update;
+    auto pass_on(const list_update& heard, const update_recipients& to) -> void;
+    auto take(const list_update& news, const http::endpoint& from) -> void;
     /// The store ended before what a neighbour has made this entry believe.
-    [[nodiscard]] auto is_ahead_of_store(const list_news& news) const -> bool;
+    [[nodiscard]] auto is_ahead_of_store(const list_update& news) const -> bool;
     /// Asks for the whole list where it has differed from the neighbour's for too long.
-    auto compare(const list_news& news, const http::endpoint& from) -> void;
+    auto compare(const list_update& news, const http::endpoint& from) -> void;
     auto ask(const http::endpoint& neighbour, std::optional<std::uint64_t> since) -> void;
     auto on_answer(const http::endpoint& from, const common::result<std::string>& body) -> void;
     auto reject(const std::string& from, const common::error& why) -> void;
@@ -85,7 +85,7 @@
     std::shared_ptr<servers_list> list;
     common::host_id self;
     http::endpoint own_address;
-    courier_hooks hooks;
+    list_broadcaster_hooks hooks;
     std::string told_by;
     /// No other question before this, unless the last one is answered.
     time_point ask_again_at{};
--- a/source/core/router/list_news.cpp
+++ b/source/core/router/list_update.cpp
@@ -1,4 +1,4 @@
-#include "router/list_news.hpp"
+#include "router/list_update.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -75,7 +75,7 @@
     return change;
 }
 
-auto fill(schema::ListNews::Builder to, const list_news& from) -> void
+auto fill(schema::ListNews::Builder to, const list_update& from) -> void
 {
     to.setHost(from.host.value());
     to.setAddress(from.address);
@@ -96,9 +96,9 @@
     }
 }
 
-auto read_news(schema::ListNews::Reader from) -> list_news
+auto read_news(schema::ListNews::Reader from) -> list_update
 {
-    list_news news;
+    list_update news;
     news.host = common::host_id{text_of(from.getHost())};
     news.address = text_of(from.getAddress());
     news.data_centre = common::data_centre_id{text_of(from.getDataCentre())};
@@ -121,7 +121,7 @@
 }
 
 /// Whether an entry could have sent this. What is out of order in itself changes nothing here.
-auto is_sound(const list_news& news) -> bool
+auto is_sound(const list_update& news) -> bool
 {
     const bool goes_forward = !news.part.from || *news.part.from <= news.part.end;
     const bool names_all =
@@ -137,7 +137,7 @@
     return common::failure(common::result_code::malformed_request, "no news of the list");
 }
 
-auto encode_flat(const list_news& news) -> std::string
+auto encode_flat(const list_update& news) -> std::string
 {
     capnp::MallocMessageBuilder message;
     fill(message.initRoot<schema::ListNews>(), news);
@@ -146,7 +146,7 @@
 
 } // namespace
 
-auto encode_datagram(const list_news& news) -> std::string
+auto encode_datagram(const list_update& news) -> std::string
 {
     auto bytes = std::string{mark} + encode_flat(news);
     if (bytes.size() <= largest_datagram) {
@@ -158,19 +158,19 @@
     return std::string{mark} + encode_flat(without);
 }
 
-auto is_list_news(std::string_view datagram) -> bool
+auto is_list_update(std::string_view datagram) -> bool
 {
     return datagram.starts_with(mark);
 }
 
-auto decode_datagram(std::string_view bytes) -> common::result<list_news>
+auto decode_datagram(std::string_view bytes) -> common::result<list_update>
 {
     const bool is_whole = bytes.size() > mark.size() && bytes.size() % sizeof(capnp::word) == 0;
-    if (!is_list_news(bytes) || !is_whole) {
+    if (!is_list_update(bytes) || !is_whole) {
         return no_news();
     }
     bytes.remove_prefix(mark.size());
-    list_news news;
+    list_update news;
     const bool is_read = read_flat<schema::ListNews>(
         bytes, traversal_words, [&news](schema::ListNews::Reader root) { news = read_news(root); });
     if (!is_read || !is_sound(news)) {
@@ -179,7 +179,7 @@
     return news;
 }
 
-auto encode_answer(const list_news& news) -> std::string
+auto encode_answer(const list_update& news) -> std::string
 {
     capnp::MallocMessageBuilder message;
     fill(message.initRoot<schema::ListNews>(), news);
@@ -189,12 +189,12 @@
     return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-auto decode_answer(std::string_view bytes) -> common::result<list_news>
+auto decode_answer(std::string_view bytes) -> common::result<list_update>
 {
     if (bytes.size() > largest_answer) {
         return no_news();
     }
-    std::optional<list_news> news;
+    std::optional<list_update> news;
     const auto problem = kj::runCatchingExceptions([bytes, &news] {
         capnp::ReaderOptions limits;
         limits.traversalLimitInWords = traversal_words;
--- a/source/core/router/peer_message.cpp
+++ b/source/core/router/peer_message.cpp
@@ -23,7 +23,7 @@
 constexpr unsigned told_means =
     pair_size * static_cast<unsigned>(policy::signal_count + routing::timed_part_count);
 
-auto fill_means(capnp::List<float>::Builder to, const routing::told_evidence& from) -> void
+auto fill_means(capnp::List<float>::Builder to, const routing::evidence_report& from) -> void
 {
     unsigned at = 0;
     const auto add = [&to, &at](const policy::known_mean& mean) {
@@ -34,7 +34,7 @@
     std::ranges::for_each(from.usual_times, add);
 }
 
-auto read_means(capnp::List<float>::Reader from, routing::told_evidence& to) -> void
+auto read_means(capnp::List<float>::Reader from, routing::evidence_report& to) -> void
 {
     unsigned at = 0;
     const auto next = [&from, &at](policy::known_mean& mean) {
@@ -48,9 +48,9 @@
     std::ranges::for_each(to.usual_times, next);
 }
 
-auto read_evidence(schema::RouteEvidence::Reader from) -> std::optional<routing::told_evidence>
+auto read_evidence(schema::RouteEvidence::Reader from) -> std::optional<routing::evidence_report>
 {
-    routing::told_evidence told;
+    routing::evidence_report told;
     for (const double log : from.getWealth()) {
         told.bets.push_back(std::isfinite(log) ? log : 0.0);
     }
@@ -62,7 +62,7 @@
     return told;
 }
 
-auto fill(schema::Rollout::Builder to, const routing::told_rollout& from) -> void
+auto fill(schema::Rollout::Builder to, const routing::rollout_report& from) -> void
 {
     to.setService(from.service.value());
     to.setTarget(from.target.value());
@@ -101,9 +101,9 @@
     return is_known ? state : routing::rollout_state::running;
 }
 
-auto read_rollout(schema::Rollout::Reader from) -> routing::told_rollout
+auto read_rollout(schema::Rollout::Reader from) -> routing::rollout_report
 {
-    routing::told_rollout told;
+    routing::rollout_report told;
     told.service = common::service_name{text_of(from.getService())};
     told.target = common::version_id{text_of(from.getTarget())};
     told.allowed = std::chrono::milliseconds{from.getAllowedMs()};
@@ -176,7 +176,7 @@
 /// Stands for a server that takes any number of requests.
 constexpr float no_limit = -1.0F;
 
-auto fill_limits(schema::Words::Builder to, const std::vector<routing::told_limit>& from) -> void
+auto fill_limits(schema::Words::Builder to, const std::vector<routing::limit_report>& from) -> void
 {
     auto limits = to.initLimits(static_cast<unsigned>(from.size()));
     for (unsigned i = 0; i < from.size(); ++i) {
@@ -187,9 +187,9 @@
     }
 }
 
-auto read_limits(schema::Words::Reader from) -> std::vector<routing::told_limit>
+auto read_limits(schema::Words::Reader from) -> std::vector<routing::limit_report>
 {
-    std::vector<routing::told_limit> limits;
+    std::vector<routing::limit_report> limits;
     for (const auto one : from.getLimits()) {
         const double per_second = one.getPerSecond();
         if (std::isfinite(per_second)) {
@@ -202,9 +202,9 @@
     return limits;
 }
 
-auto read_words(schema::Words::Reader from) -> peer_words
+auto read_words(schema::Words::Reader from) -> peer_report
 {
-    peer_words words;
+    peer_report words;
     words.host = common::host_id{text_of(from.getHost())};
     words.process = from.getProcess();
     words.address = text_of(from.getAddress());
@@ -260,12 +260,12 @@
 
 } // namespace
 
-auto place_of(const common::data_centre_id& data_centre) -> std::uint32_t
+auto data_centre_hash(const common::data_centre_id& data_centre) -> std::uint32_t
 {
     return static_cast<std::uint32_t>(placement::affinity_hash(data_centre.value()));
 }
 
-auto encode(const peer_words& words) -> std::string
+auto encode(const peer_report& words) -> std::string
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::Words>();
@@ -320,9 +320,9 @@
     return flat_bytes(message);
 }
 
-auto decode_peer_words(std::string_view bytes) -> common::result<peer_words>
+auto decode_peer_words(std::string_view bytes) -> common::result<peer_report>
 {
-    peer_words words;
+    peer_report words;
     const bool is_read = read_flat<schema::Words>(
         bytes, datagram_words, [&words](schema::Words::Reader root) { words = read_words(root); });
     if (!is_read) {
--- a/source/core/router/relay.cpp
+++ b/source/core/router/relay.cpp
@@ -180,7 +180,7 @@
     this->settle(of, end, outcome);
 }
 
-auto relay::print() -> routing::request_print
+auto relay::print() -> routing::request_fingerprint
 {
     if (!this->known_print) {
         this->known_print = this->core->print_of(this->request.asked, this->request.caller);
--- a/source/core/router/relay.hpp
+++ b/source/core/router/relay.hpp
@@ -8,7 +8,7 @@
 #include "router/router_core.hpp"
 #include "routing/attempt_ledger.hpp"
 #include "routing/event_splitter.hpp"
-#include "routing/request_print.hpp"
+#include "routing/request_fingerprint.hpp"
 
 namespace reedramp::router {
 
@@ -74,7 +74,7 @@
 
     /// One send to one server.
     struct attempt {
-        routing::server_start server;
+        routing::server_instance server;
         common::version_id version;
         /// Work still under way; `prompt_work` of it ends with the first event.
         double work = 0.0;
@@ -86,7 +86,7 @@
         verdict said = verdict::none;
         http::response head;
         /// Of the server, in that head.
-        server_words words;
+        server_directives words;
         std::string body;
         std::shared_ptr<http::call> call;
         std::optional<routing::event_splitter> events;
@@ -123,12 +123,12 @@
     [[nodiscard]] auto has_homes() const -> bool;
     /// What a cold server of the request's service bears; 0 if it bears all.
     [[nodiscard]] auto cold_per_second() const -> double;
-    [[nodiscard]] auto books() const -> routing::server_books;
+    [[nodiscard]] auto books() const -> routing::server_trackers;
     [[nodiscard]] auto
     choose_among(const std::vector<const routing::registration*>& allowed, time_point now) const
         -> const routing::registration*;
     /// Whether a server would take the request now that may go to `first` again.
-    auto may_go_on_after(const routing::server_start& first) -> bool;
+    auto may_go_on_after(const routing::server_instance& first) -> bool;
     /// When a server that it may go to takes a request of this entry next; `never` without one.
     [[nodiscard]] auto next_turn() const -> time_point;
     /// When a caller should come back that is refused since no server takes its request.
@@ -192,7 +192,7 @@
         routing::server_outcome outcome) -> void;
     [[nodiscard]] auto is_stream() const -> bool;
     /// As `router_core::print_of`; made once it is asked for.
-    auto print() -> routing::request_print;
+    auto print() -> routing::request_fingerprint;
     /// The caller has a part of the stream from a connection that was cut.
     [[nodiscard]] auto is_resumed() const -> bool;
     auto retries() -> placement::retry_budget&;
@@ -228,10 +228,10 @@
     std::size_t model_at = 0;
 
     std::uint64_t session_hash = 0;
-    std::optional<routing::request_print> known_print;
+    std::optional<routing::request_fingerprint> known_print;
 
     std::shared_ptr<attempt> current;
-    std::vector<routing::server_start> tried;
+    std::vector<routing::server_instance> tried;
     routing::attempt_ledger ledger;
     /// A failure that a server answered, for the caller when nothing better comes.
     std::optional<http::response> failure_to_pass;
--- a/source/core/router/relay_target.cpp
+++ b/source/core/router/relay_target.cpp
@@ -131,7 +131,7 @@
     return open;
 }
 
-auto relay::may_go_on_after(const routing::server_start& first) -> bool
+auto relay::may_go_on_after(const routing::server_instance& first) -> bool
 {
     const auto had = this->tried;
     std::erase(this->tried, first);
@@ -241,7 +241,7 @@
     return known == nullptr ? 0.0 : known->cold_per_second;
 }
 
-auto relay::books() const -> routing::server_books
+auto relay::books() const -> routing::server_trackers
 {
     return {
         this->core->loads,
--- a/source/core/router/router_core.cpp
+++ b/source/core/router/router_core.cpp
@@ -74,7 +74,7 @@
 }
 
 auto router_core::print_of(const http::request& asked, const caller_request& caller) const
-    -> routing::request_print
+    -> routing::request_fingerprint
 {
     const auto* owner = this->rules_in_force->owner_of(caller.key);
     return routing::print_of(
@@ -85,7 +85,8 @@
          asked.body});
 }
 
-auto router_core::hear_barred(const routing::told_barred& told, const std::string& told_by) -> void
+auto router_core::hear_barred(const routing::barred_report& told, const std::string& told_by)
+    -> void
 {
     if (this->crashes.hear_barred(told, this->hooks.clock())) {
         common::log(
@@ -96,8 +97,9 @@
 }
 
 auto router_core::hear_limit(
-    const routing::server_start& server, const server_words& said, const std::string& attempt)
-    -> void
+    const routing::server_instance& server,
+    const server_directives& said,
+    const std::string& attempt) -> void
 {
     if (said.has_odd_limit && this->intake.limits().note_odd(server)) {
         this->counters.count_server_word("limit_unreadable");
@@ -120,7 +122,7 @@
     }
 }
 
-auto router_core::hear_leaving(const routing::server_start& server, const std::string& attempt)
+auto router_core::hear_leaving(const routing::server_instance& server, const std::string& attempt)
     -> void
 {
     const auto* known = this->servers.find(server.id);
@@ -136,7 +138,7 @@
         "server leaving server=" + to_string(server) + " request=" + attempt);
 }
 
-auto router_core::give_rest(const routing::server_start& server, std::chrono::milliseconds rest)
+auto router_core::give_rest(const routing::server_instance& server, std::chrono::milliseconds rest)
     -> void
 {
     // All entries are turned away in one moment; they do not come back in one.
@@ -148,7 +150,7 @@
 }
 
 auto router_core::hear_limits(
-    const std::vector<routing::told_limit>& told, const std::string& told_by) -> void
+    const std::vector<routing::limit_report>& told, const std::string& told_by) -> void
 {
     for (const auto& one : told) {
         const auto change = this->intake.limits().hear(one, this->hooks.clock());
@@ -178,7 +180,7 @@
 }
 
 auto router_core::find_barred(const http::request& asked, const caller_request& caller)
-    -> std::optional<routing::request_print>
+    -> std::optional<routing::request_fingerprint>
 {
     if (!this->crashes.has_barred()) {
         return std::nullopt;
--- a/source/core/router/router_core.hpp
+++ b/source/core/router/router_core.hpp
@@ -16,19 +16,19 @@
 #include "router/caller_request.hpp"
 #include "router/header_names.hpp"
 #include "router/router_metrics.hpp"
-#include "router/server_words.hpp"
+#include "router/server_directives.hpp"
 #include "router/shared_store.hpp"
 #include "routing/configuration.hpp"
-#include "routing/crash_book.hpp"
-#include "routing/evacuation_book.hpp"
+#include "routing/crash_tracker.hpp"
+#include "routing/evacuation_registry.hpp"
 #include "routing/home_regions.hpp"
-#include "routing/intake_book.hpp"
 #include "routing/list_freshness.hpp"
-#include "routing/load_book.hpp"
+#include "routing/load_tracker.hpp"
 #include "routing/model_choice.hpp"
 #include "routing/rollout_guide.hpp"
 #include "routing/server_choice.hpp"
 #include "routing/server_health.hpp"
+#include "routing/server_limiter.hpp"
 #include "routing/server_table.hpp"
 
 namespace reedramp::router {
@@ -44,7 +44,7 @@
     /// May be empty.
     std::function<auto()->void> on_new_era = {};
     /// This entry's place among all, as far as it knows of them. Empty: it is alone.
-    std::function<auto()->routing::entry_place> place = {};
+    std::function<auto()->routing::entry_rank> place = {};
     /// When another entry, or this one's next process, takes requests that this process can't
     /// finish any more. Empty: at once.
     std::function<auto(time_point now)->time_point> served_elsewhere_at = {};
@@ -59,7 +59,7 @@
     /// The region of each data centre.
     routing::region_map regions;
     routing::choice_options choice;
-    routing::intake_options intake;
+    routing::server_limiter_options intake;
     routing::freshness_options freshness;
     routing::health_options health;
     routing::crash_options crashes;
@@ -197,7 +197,7 @@
     auto change_retries(placement::retry_budget_settings settings) -> void;
 
     /// The data centres that are evacuated, as the store or another entry knows it.
-    auto learn_evacuations(const routing::told_evacuations& known, const std::string& told_by)
+    auto learn_evacuations(const routing::evacuation_report& known, const std::string& told_by)
         -> void;
 
     /// The operators' orders that a reading gave behind this entry's last one.
@@ -219,21 +219,22 @@
     auto end_all() -> void;
 
     /// Another entry, or the store, knows that a request ends servers.
-    auto hear_barred(const routing::told_barred& told, const std::string& told_by) -> void;
+    auto hear_barred(const routing::barred_report& told, const std::string& told_by) -> void;
 
     /// A server names its limit in its answer to the attempt, or names none any more.
     auto hear_limit(
-        const routing::server_start& server, const server_words& said, const std::string& attempt)
-        -> void;
+        const routing::server_instance& server,
+        const server_directives& said,
+        const std::string& attempt) -> void;
 
     /// A server has said in its answer to the attempt that it leaves.
-    auto hear_leaving(const routing::server_start& server, const std::string& attempt) -> void;
+    auto hear_leaving(const routing::server_instance& server, const std::string& attempt) -> void;
 
     /// A server wants nothing from this entry for so long.
-    auto give_rest(const routing::server_start& server, std::chrono::milliseconds rest) -> void;
+    auto give_rest(const routing::server_instance& server, std::chrono::milliseconds rest) -> void;
 
     /// A peer has read this in servers' answers.
-    auto hear_limits(const std::vector<routing::told_limit>& told, const std::string& told_by)
+    auto hear_limits(const std::vector<routing::limit_report>& told, const std::string& told_by)
         -> void;
 
     /// Grows when a server says in an answer to this entry what all have to know at once: that it
@@ -242,7 +243,7 @@
 
     /// What tells the request from others, whatever its attempt id.
     [[nodiscard]] auto print_of(const http::request& asked, const caller_request& caller) const
-        -> routing::request_print;
+        -> routing::request_fingerprint;
 
     /// The process will end before a larger model's answer would; the smallest one's has to do.
     [[nodiscard]] auto must_be_quick(const routing::route& on, const caller_request& caller) const
@@ -257,13 +258,13 @@
     std::shared_ptr<http::client> client;
     routing::server_table servers;
     routing::list_freshness freshness;
-    routing::load_book loads;
+    routing::load_tracker loads;
     /// By service: what a unit of work takes differs between services by far more than within one.
-    std::map<common::service_name, routing::pace_book> paces;
+    std::map<common::service_name, routing::server_speed_tracker> paces;
     routing::server_health health;
-    routing::intake_book intake;
-    routing::evacuation_book evacuations;
-    routing::crash_book crashes;
+    routing::server_limiter intake;
+    routing::evacuation_registry evacuations;
+    routing::crash_tracker crashes;
     routing::rollout_guide rollouts;
     metrics::registry series;
     routing::wait_gauge waits;
@@ -302,7 +303,7 @@
     [[nodiscard]] auto come_back_after(common::result_code why) const -> std::chrono::milliseconds;
     /// The request's print if it ends the servers that run it.
     auto find_barred(const http::request& asked, const caller_request& caller)
-        -> std::optional<routing::request_print>;
+        -> std::optional<routing::request_fingerprint>;
     auto check(const http::request& asked, const caller_request& caller) const
         -> common::result<const routing::route*>;
 
--- a/source/core/router/rules_follower.cpp
+++ b/source/core/router/rules_follower.cpp
@@ -145,7 +145,7 @@
         this->core->follow_evacuations(orders, end);
         return;
     }
-    routing::told_evacuations known{end, {}};
+    routing::evacuation_report known{end, {}};
     for (const auto& order : orders) {
         known.evacuated.push_back(order.data_centre);
     }
--- a/source/core/router/server_words.cpp
+++ b/source/core/router/server_directives.cpp
@@ -1,4 +1,4 @@
-#include "router/server_words.hpp"
+#include "router/server_directives.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -39,7 +39,7 @@
 }
 
 /// Of two limits in one answer the smaller one can't be wrong for the server.
-auto take_limit(server_words& words, std::string_view value) -> void
+auto take_limit(server_directives& words, std::string_view value) -> void
 {
     const auto limit = parse_amount(value);
     words.has_odd_limit = words.has_odd_limit || !limit;
@@ -49,7 +49,7 @@
 }
 
 /// Of two rests the longer one.
-auto take_rest(server_words& words, std::string_view value) -> void
+auto take_rest(server_directives& words, std::string_view value) -> void
 {
     const auto seconds = parse_amount(value);
     words.has_odd_rest = words.has_odd_rest || !seconds;
@@ -61,9 +61,9 @@
 
 } // namespace
 
-auto read_server_words(const http::response& head, const header_names& names) -> server_words
+auto read_server_words(const http::response& head, const header_names& names) -> server_directives
 {
-    server_words words;
+    server_directives words;
     for (const auto& one : head.headers) {
         if (http::same_name(one.name, names.limit)) {
             take_limit(words, one.value);
--- a/source/core/router/server_words.hpp
+++ b/source/core/router/server_directives.hpp
@@ -9,7 +9,7 @@
 namespace reedramp::router {
 
 /// What a server says of itself in the head of an answer.
-struct server_words {
+struct server_directives {
     /// Requests a second that it takes from all entries together; none: any number.
     std::optional<double> limit;
     /// A header is there whose value can't be read: it says nothing, and takes nothing back.
@@ -21,6 +21,6 @@
     bool is_leaving = false;
 };
 
-auto read_server_words(const http::response& head, const header_names& names) -> server_words;
+auto read_server_words(const http::response& head, const header_names& names) -> server_directives;
 
 } // namespace reedramp::router
--- a/source/core/router/servers_follower.cpp
+++ b/source/core/router/servers_follower.cpp
@@ -44,7 +44,7 @@
 
 auto servers_follower::is_due(time_point now) const -> bool
 {
-    const auto turn = this->hooks.turn ? this->hooks.turn() : reader_turn{};
+    const auto turn = this->hooks.turn ? this->hooks.turn() : reader_rank{};
     return this->core->freshness.is_due(turn.rank, now, turn.is_reader);
 }
 
--- a/source/core/router/servers_follower.hpp
+++ b/source/core/router/servers_follower.hpp
@@ -8,7 +8,7 @@
 namespace reedramp::router {
 
 /// An entry's place among those that read the servers' list.
-struct reader_turn {
+struct reader_rank {
     /// Living entries that read before this one.
     std::size_t rank = 0;
     /// It is one of the few of its data centre that read for the others.
@@ -20,7 +20,7 @@
     /// The store answers again after a failed reading. May be empty.
     std::function<auto()->void> on_regained = {};
     /// Empty: the only one.
-    std::function<auto()->reader_turn> turn = {};
+    std::function<auto()->reader_rank> turn = {};
     /// The store was read: neighbours are to be told. May be empty.
     std::function<auto(const list_part& read)->void> on_read = {};
 };
--- a/source/core/router/servers_list.cpp
+++ b/source/core/router/servers_list.cpp
@@ -278,7 +278,7 @@
     this->swept_at = now;
     auto& servers = this->core->servers;
     servers.forget_left(now);
-    const auto is_gone = [&servers](const routing::server_start& server) {
+    const auto is_gone = [&servers](const routing::server_instance& server) {
         const auto* known = servers.find(server.id);
         return known == nullptr || known->start() != server;
     };
--- a/source/core/routing/crash_book.cpp
+++ b/source/core/routing/crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "routing/crash_book.hpp"
+#include "routing/crash_tracker.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -20,8 +20,9 @@
 
 } // namespace
 
-auto crash_book::note_lost(
-    request_print print, const server_start& server, time_point sent, time_point now) -> void
+auto crash_tracker::note_lost(
+    request_fingerprint print, const server_instance& server, time_point sent, time_point now)
+    -> void
 {
     const auto hash = hash_of(server);
     const lost_request how{now, sent, true};
@@ -30,7 +31,7 @@
     this->untold_losses.push_back({print, hash, how});
 }
 
-auto crash_book::note_down(const server_start& server, time_point now) -> void
+auto crash_tracker::note_down(const server_instance& server, time_point now) -> void
 {
     const auto hash = hash_of(server);
     const auto known = this->crashes.find(hash);
@@ -38,28 +39,28 @@
         return;
     }
     const lost_request how{now, now, true};
-    this->note(request_print{}, hash, how, now);
-    this->untold_losses.push_back({request_print{}, hash, how});
+    this->note(request_fingerprint{}, hash, how, now);
+    this->untold_losses.push_back({request_fingerprint{}, hash, how});
 }
 
-auto crash_book::note_alive(const server_start& server) -> void
+auto crash_tracker::note_alive(const server_instance& server) -> void
 {
     this->crashes.erase(hash_of(server));
 }
 
-auto crash_book::take_doubtful() -> std::vector<server_start>
+auto crash_tracker::take_doubtful() -> std::vector<server_instance>
 {
     const auto noted = std::exchange(this->doubtful, {});
-    std::vector<server_start> servers{noted.begin(), noted.end()};
-    std::erase_if(servers, [this](const server_start& server) {
+    std::vector<server_instance> servers{noted.begin(), noted.end()};
+    std::erase_if(servers, [this](const server_instance& server) {
         const auto known = this->crashes.find(hash_of(server));
         return known == this->crashes.end() || this->is_crash(known->second);
     });
     return servers;
 }
 
-auto crash_book::note(request_print print, std::uint64_t server, lost_request how, time_point now)
-    -> void
+auto crash_tracker::note(
+    request_fingerprint print, std::uint64_t server, lost_request how, time_point now) -> void
 {
     const auto served_at = this->served.find(print);
     if (served_at != this->served.end() && served_at->second >= how.at) {
@@ -67,7 +68,7 @@
     }
     auto& one = this->crashes.try_emplace(server, crash{how.at, {}, false}).first->second;
     one.at = std::min(one.at, how.at);
-    if (print == request_print{}) {
+    if (print == request_fingerprint{}) {
         one.is_down = true;
     }
     else {
@@ -76,8 +77,8 @@
     this->evidence_at = now;
 }
 
-auto crash_book::note_served(request_print print, const server_start& server, time_point now)
-    -> void
+auto crash_tracker::note_served(
+    request_fingerprint print, const server_instance& server, time_point now) -> void
 {
     const auto known = this->crashes.find(hash_of(server));
     // What it answered before it ended may be read a little later.
@@ -94,7 +95,7 @@
     }
 }
 
-auto crash_book::absolve(request_print print, time_point at, time_point now) -> void
+auto crash_tracker::absolve(request_fingerprint print, time_point at, time_point now) -> void
 {
     auto& last = this->served.try_emplace(print, at).first->second;
     last = std::max(last, at);
@@ -111,7 +112,7 @@
     this->evidence_at = now;
 }
 
-auto crash_book::is_crash(const crash& one) const -> bool
+auto crash_tracker::is_crash(const crash& one) const -> bool
 {
     if (one.suspects.empty()) {
         return false;
@@ -129,13 +130,13 @@
            }) != times.end();
 }
 
-auto crash_book::is_explained(const crash& one) const -> bool
+auto crash_tracker::is_explained(const crash& one) const -> bool
 {
     return std::ranges::any_of(
         one.suspects, [this](const auto& item) { return this->barred.contains(item.first); });
 }
 
-auto crash_book::unexplained() const -> std::vector<const crash*>
+auto crash_tracker::unexplained() const -> std::vector<const crash*>
 {
     std::vector<const crash*> all;
     for (const auto& [server, one] : this->crashes) {
@@ -147,7 +148,7 @@
     return all;
 }
 
-auto crash_book::count(const std::vector<const crash*>& all) -> crash_counts
+auto crash_tracker::count(const std::vector<const crash*>& all) -> crash_counts
 {
     crash_counts counts;
     for (const auto* one : all) {
@@ -158,8 +159,8 @@
     return counts;
 }
 
-auto crash_book::has_likelier(const crash& one, request_print than, const crash_counts& counts)
-    -> bool
+auto crash_tracker::has_likelier(
+    const crash& one, request_fingerprint than, const crash_counts& counts) -> bool
 {
     const auto own = counts.at(than);
     return std::ranges::any_of(one.suspects, [&](const auto& item) {
@@ -167,8 +168,8 @@
     });
 }
 
-auto crash_book::weigh(
-    request_print print,
+auto crash_tracker::weigh(
+    request_fingerprint print,
     const std::vector<const crash*>& all,
     const crash_counts& counts,
     time_point now) const -> barred_request
@@ -203,7 +204,7 @@
     return found;
 }
 
-auto crash_book::judge(time_point now) -> std::vector<barred_request>
+auto crash_tracker::judge(time_point now) -> std::vector<barred_request>
 {
     if (now >= this->forgets_at) {
         this->forget(now);
@@ -232,7 +233,7 @@
     return found;
 }
 
-auto crash_book::note_refused(request_print print, time_point now) -> void
+auto crash_tracker::note_refused(request_fingerprint print, time_point now) -> void
 {
     const auto found = this->barred.find(print);
     if (found != this->barred.end()) {
@@ -240,7 +241,7 @@
     }
 }
 
-auto crash_book::hear_barred(const told_barred& told, time_point now) -> bool
+auto crash_tracker::hear_barred(const barred_report& told, time_point now) -> bool
 {
     const auto since = now - told.age;
     const auto served_at = this->served.find(told.print);
@@ -250,7 +251,7 @@
            this->bar(told.print, {since, now - told.unseen, told.is_recorded});
 }
 
-auto crash_book::bar(request_print print, const barred_since& how) -> bool
+auto crash_tracker::bar(request_fingerprint print, const barred_since& how) -> bool
 {
     const auto [found, is_new] = this->barred.try_emplace(print, how);
     auto& known = found->second;
@@ -259,7 +260,7 @@
     return is_new;
 }
 
-auto crash_book::unrecorded(time_point now) const -> std::optional<told_barred>
+auto crash_tracker::unrecorded(time_point now) const -> std::optional<barred_report>
 {
     const auto found = std::ranges::find_if(
         this->barred, [](const auto& item) { return !item.second.is_recorded; });
@@ -267,10 +268,10 @@
         return std::nullopt;
     }
     const auto& [print, since] = *found;
-    return told_barred{print, age_of(since.at, now), age_of(since.last_seen, now)};
+    return barred_report{print, age_of(since.at, now), age_of(since.last_seen, now)};
 }
 
-auto crash_book::note_recorded(request_print print) -> void
+auto crash_tracker::note_recorded(request_fingerprint print) -> void
 {
     const auto found = this->barred.find(print);
     if (found != this->barred.end()) {
@@ -278,58 +279,59 @@
     }
 }
 
-auto crash_book::forget_recorded() -> void
+auto crash_tracker::forget_recorded() -> void
 {
     for (auto& [print, since] : this->barred) {
         since.is_recorded = false;
     }
 }
 
-auto crash_book::take_losses(time_point now) -> std::vector<told_loss>
+auto crash_tracker::take_losses(time_point now) -> std::vector<loss_report>
 {
-    std::vector<told_loss> all;
+    std::vector<loss_report> all;
     for (const auto& [print, server, how] : std::exchange(this->untold_losses, {})) {
         all.push_back({print, server, age_of(how.at, now), age_of(how.sent, now)});
     }
     return all;
 }
 
-auto crash_book::take_served(time_point now) -> std::vector<told_served>
+auto crash_tracker::take_served(time_point now) -> std::vector<served_report>
 {
-    std::vector<told_served> all;
+    std::vector<served_report> all;
     for (const auto& [print, at] : std::exchange(this->untold_served, {})) {
         all.push_back({print, age_of(at, now)});
     }
     return all;
 }
 
-auto crash_book::hear_losses(const std::vector<told_loss>& losses, time_point now) -> void
+auto crash_tracker::hear_losses(const std::vector<loss_report>& losses, time_point now) -> void
 {
     for (const auto& loss : losses) {
         this->note(loss.print, loss.server, {now - loss.age, now - loss.sent_age, false}, now);
     }
 }
 
-auto crash_book::hear_served(const std::vector<told_served>& told, time_point now) -> void
+auto crash_tracker::hear_served(const std::vector<served_report>& told, time_point now) -> void
 {
     for (const auto& one : told) {
         this->absolve(one.print, now - one.age, now);
     }
 }
 
-auto crash_book::tell_barred(std::size_t most, time_point now) const -> std::vector<told_barred>
+auto crash_tracker::tell_barred(std::size_t most, time_point now) const
+    -> std::vector<barred_report>
 {
-    std::vector<told_barred> all;
+    std::vector<barred_report> all;
     for (const auto& [print, since] : this->barred) {
         all.push_back(
             {print, age_of(since.at, now), age_of(since.last_seen, now), since.is_recorded});
     }
-    std::ranges::sort(all, {}, &told_barred::unseen);
+    std::ranges::sort(all, {}, &barred_report::unseen);
     all.resize(std::min(all.size(), most));
     return all;
 }
 
-auto crash_book::forget(time_point now) -> void
+auto crash_tracker::forget(time_point now) -> void
 {
     this->forgets_at = now + between_sweeps;
     const auto oldest = now - this->settings.remembered;
--- a/source/core/routing/crash_book.hpp
+++ b/source/core/routing/crash_tracker.hpp
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "common/units.hpp"
-#include "routing/request_print.hpp"
-#include "routing/server_start.hpp"
+#include "routing/request_fingerprint.hpp"
+#include "routing/server_instance.hpp"
 
 namespace reedramp::routing {
 
@@ -43,9 +43,9 @@
 };
 
 /// A request that was lost with its server, as entries tell each other.
-struct told_loss {
+struct loss_report {
     /// 0: nobody's request; connections to the server are refused.
-    request_print print;
+    request_fingerprint print;
     /// `hash_of` the server's start.
     std::uint64_t server = 0;
     std::chrono::milliseconds age{0};
@@ -54,14 +54,14 @@
 };
 
 /// A suspect that was served, and how long ago.
-struct told_served {
-    request_print print;
+struct served_report {
+    request_fingerprint print;
     std::chrono::milliseconds age{0};
 };
 
 /// A request that is barred.
-struct told_barred {
-    request_print print;
+struct barred_report {
+    request_fingerprint print;
     /// Since it was barred, and since it came last.
     std::chrono::milliseconds age{0};
     std::chrono::milliseconds unseen{0};
@@ -71,7 +71,7 @@
 
 /// A request that is barred from now on, and why.
 struct barred_request {
-    request_print print;
+    request_fingerprint print;
     /// Servers that ended under it, and that ended meanwhile under no suspect.
     std::size_t crashes = 0;
     std::size_t others = 0;
@@ -90,26 +90,28 @@
 ///
 /// A loss alone is no crash, since connections break too: another request was lost at that server
 /// in the same moment, or nobody listens there any more.
-class crash_book {
+class crash_tracker {
 public:
-    explicit crash_book(crash_options options) : settings(options) {}
+    explicit crash_tracker(crash_options options) : settings(options) {}
 
     /// The connection to the server ended in the midst of the request, which was sent at `sent`.
-    auto note_lost(request_print print, const server_start& server, time_point sent, time_point now)
+    auto note_lost(
+        request_fingerprint print, const server_instance& server, time_point sent, time_point now)
         -> void;
 
     /// No connection to the server could be opened.
-    auto note_down(const server_start& server, time_point now) -> void;
+    auto note_down(const server_instance& server, time_point now) -> void;
 
     /// Somebody listens at the server: it has not ended.
-    auto note_alive(const server_start& server) -> void;
+    auto note_alive(const server_instance& server) -> void;
 
     /// Servers at which this entry has lost something since the last call, and of which it is not
     /// known whether they have ended. Where a server ran nothing else, nobody else says so.
-    auto take_doubtful() -> std::vector<server_start>;
+    auto take_doubtful() -> std::vector<server_instance>;
 
     /// The server has answered a request to the end.
-    auto note_served(request_print print, const server_start& server, time_point now) -> void;
+    auto note_served(request_fingerprint print, const server_instance& server, time_point now)
+        -> void;
 
     /// Whether `note_served` has anything to learn: prints cost time, and calm days need none.
     [[nodiscard]] auto has_suspects() const -> bool
@@ -122,33 +124,33 @@
 
     [[nodiscard]] auto has_barred() const -> bool { return !this->barred.empty(); }
 
-    [[nodiscard]] auto is_barred(request_print print) const -> bool
+    [[nodiscard]] auto is_barred(request_fingerprint print) const -> bool
     {
         return this->barred.contains(print);
     }
 
     /// A barred request has come again.
-    auto note_refused(request_print print, time_point now) -> void;
+    auto note_refused(request_fingerprint print, time_point now) -> void;
 
     /// Another entry, or the store, knows that the request ends servers. True if that is new.
-    auto hear_barred(const told_barred& told, time_point now) -> bool;
+    auto hear_barred(const barred_report& told, time_point now) -> bool;
 
     /// A barred request that the store is not known to have; none as a rule.
-    [[nodiscard]] auto unrecorded(time_point now) const -> std::optional<told_barred>;
-    auto note_recorded(request_print print) -> void;
+    [[nodiscard]] auto unrecorded(time_point now) const -> std::optional<barred_report>;
+    auto note_recorded(request_fingerprint print) -> void;
     /// The store may have lost them all.
     auto forget_recorded() -> void;
 
     /// What this entry has noted since the last call, for all peers.
-    auto take_losses(time_point now) -> std::vector<told_loss>;
-    auto take_served(time_point now) -> std::vector<told_served>;
+    auto take_losses(time_point now) -> std::vector<loss_report>;
+    auto take_served(time_point now) -> std::vector<served_report>;
 
-    auto hear_losses(const std::vector<told_loss>& losses, time_point now) -> void;
-    auto hear_served(const std::vector<told_served>& told, time_point now) -> void;
+    auto hear_losses(const std::vector<loss_report>& losses, time_point now) -> void;
+    auto hear_served(const std::vector<served_report>& told, time_point now) -> void;
 
     /// Requests barred here, the last refused first, `most` at most.
     [[nodiscard]] auto tell_barred(std::size_t most, time_point now) const
-        -> std::vector<told_barred>;
+        -> std::vector<barred_report>;
 
     [[nodiscard]] auto barred_count() const -> std::size_t { return this->barred.size(); }
 
@@ -160,7 +162,7 @@
         bool is_own = false;
     };
 
-    using suspect_map = std::map<request_print, lost_request>;
+    using suspect_map = std::map<request_fingerprint, lost_request>;
 
     /// A server that may have ended.
     struct crash {
@@ -177,40 +179,41 @@
     };
 
     struct untold_loss {
-        request_print print;
+        request_fingerprint print;
         std::uint64_t server = 0;
         lost_request how;
     };
 
-    using crash_counts = std::unordered_map<request_print, std::size_t>;
+    using crash_counts = std::unordered_map<request_fingerprint, std::size_t>;
 
-    auto note(request_print print, std::uint64_t server, lost_request how, time_point now) -> void;
+    auto note(request_fingerprint print, std::uint64_t server, lost_request how, time_point now)
+        -> void;
     /// Whether another suspect of the crash was in as many crashes as `than`, or more.
     [[nodiscard]] static auto
-    has_likelier(const crash& one, request_print than, const crash_counts& counts) -> bool;
-    auto absolve(request_print print, time_point at, time_point now) -> void;
+    has_likelier(const crash& one, request_fingerprint than, const crash_counts& counts) -> bool;
+    auto absolve(request_fingerprint print, time_point at, time_point now) -> void;
     [[nodiscard]] auto is_crash(const crash& one) const -> bool;
     [[nodiscard]] auto is_explained(const crash& one) const -> bool;
     /// Crashes that no barred request explains, the oldest first.
     [[nodiscard]] auto unexplained() const -> std::vector<const crash*>;
     [[nodiscard]] static auto count(const std::vector<const crash*>& all) -> crash_counts;
     [[nodiscard]] auto weigh(
-        request_print print,
+        request_fingerprint print,
         const std::vector<const crash*>& all,
         const crash_counts& counts,
         time_point now) const -> barred_request;
-    auto bar(request_print print, const barred_since& how) -> bool;
+    auto bar(request_fingerprint print, const barred_since& how) -> bool;
     auto forget(time_point now) -> void;
 
     crash_options settings;
     /// By `hash_of` the server's start.
     std::unordered_map<std::uint64_t, crash> crashes;
-    std::map<request_print, barred_since> barred;
+    std::map<request_fingerprint, barred_since> barred;
     /// When suspects were served.
-    std::map<request_print, time_point> served;
-    std::set<server_start> doubtful;
+    std::map<request_fingerprint, time_point> served;
+    std::set<server_instance> doubtful;
     std::vector<untold_loss> untold_losses;
-    std::vector<std::pair<request_print, time_point>> untold_served;
+    std::vector<std::pair<request_fingerprint, time_point>> untold_served;
     /// What came until `evidence_at` has been weighed once it was settled: else each call would
     /// weigh the losses of the last ten minutes.
     time_point evidence_at{};
--- a/source/core/routing/departures.cpp
+++ b/source/core/routing/departure_tracker.cpp
@@ -1,4 +1,4 @@
-#include "routing/departures.hpp"
+#include "routing/departure_tracker.hpp"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-auto departures::note_leaving(const server_start& start, time_point now) -> void
+auto departure_tracker::note_leaving(const server_instance& start, time_point now) -> void
 {
     this->newest_leaving.push_back({hash_of(start), now});
     if (this->newest_leaving.size() > most_told) {
@@ -28,7 +28,7 @@
     }
 }
 
-auto departures::note_ended(const server_start& start, time_point now) -> void
+auto departure_tracker::note_ended(const server_instance& start, time_point now) -> void
 {
     this->ended_starts.push_back({hash_of(start), now});
     while (this->ended_starts.size() > most_left ||
@@ -37,8 +37,8 @@
     }
 }
 
-auto departures::note_end_read(const server_start& start, std::uint64_t read_to, time_point now)
-    -> void
+auto departure_tracker::note_end_read(
+    const server_instance& start, std::uint64_t read_to, time_point now) -> void
 {
     this->note_ended(start, now);
     this->newest_ended.push_back({{hash_of(start), read_to}, now});
@@ -47,7 +47,7 @@
     }
 }
 
-auto departures::leaving() const -> std::vector<std::uint64_t>
+auto departure_tracker::leaving() const -> std::vector<std::uint64_t>
 {
     std::vector<std::uint64_t> hashes;
     for (const auto& one : this->newest_leaving) {
@@ -56,9 +56,9 @@
     return hashes;
 }
 
-auto departures::ended(time_point now) const -> std::vector<told_end>
+auto departure_tracker::ended(time_point now) const -> std::vector<ended_report>
 {
-    std::vector<told_end> newest;
+    std::vector<ended_report> newest;
     for (const auto& one : this->newest_ended) {
         if (now - one.at < ends_told_for) {
             newest.push_back(one.word);
@@ -67,13 +67,13 @@
     return newest;
 }
 
-auto departures::has_ended(const server_start& start) const -> bool
+auto departure_tracker::has_ended(const server_instance& start) const -> bool
 {
     return std::ranges::find(this->ended_starts, hash_of(start), &left_server::hash) !=
            this->ended_starts.end();
 }
 
-auto departures::forget_told(time_point now) -> void
+auto departure_tracker::forget_told(time_point now) -> void
 {
     std::erase_if(
         this->newest_leaving, [now](const auto& one) { return now - one.at > leaving_told_for; });
--- a/source/core/routing/departures.hpp
+++ b/source/core/routing/departure_tracker.hpp
@@ -7,14 +7,14 @@
 #include <vector>
 
 #include "common/units.hpp"
-#include "routing/server_start.hpp"
+#include "routing/server_instance.hpp"
 
 namespace reedramp::routing {
 
 using common::time_point;
 
 /// The end of a registration, as an entry tells those that are cut off from the store.
-struct told_end {
+struct ended_report {
     /// `hash_of` the start.
     std::uint64_t server = 0;
     /// Position in the list's stream behind what was read.
@@ -23,24 +23,24 @@
 
 /// Starts of servers that have said that they leave, or have ended: what peers are told of it, and
 /// what is remembered of it here.
-class departures {
+class departure_tracker {
 public:
-    auto note_leaving(const server_start& start, time_point now) -> void;
+    auto note_leaving(const server_instance& start, time_point now) -> void;
 
     /// Another entry has told of its end, or another server answers at its address.
-    auto note_ended(const server_start& start, time_point now) -> void;
+    auto note_ended(const server_instance& start, time_point now) -> void;
 
-    /// The end of its registration, which peers are told. `read_to` as in `told_end`.
-    auto note_end_read(const server_start& start, std::uint64_t read_to, time_point now) -> void;
+    /// The end of its registration, which peers are told. `read_to` as in `ended_report`.
+    auto note_end_read(const server_instance& start, std::uint64_t read_to, time_point now) -> void;
 
     /// Hashes of the starts that have said that they leave, the newest ones.
     [[nodiscard]] auto leaving() const -> std::vector<std::uint64_t>;
 
     /// Registrations that ended in the last seconds.
-    [[nodiscard]] auto ended(time_point now) const -> std::vector<told_end>;
+    [[nodiscard]] auto ended(time_point now) const -> std::vector<ended_report>;
 
     /// Whether this start ended in the last minutes.
-    [[nodiscard]] auto has_ended(const server_start& start) const -> bool;
+    [[nodiscard]] auto has_ended(const server_instance& start) const -> bool;
 
     /// Forgets what peers need not be told any more.
     auto forget_told(time_point now) -> void;
@@ -52,7 +52,7 @@
     };
 
     struct ended_server {
-        told_end word;
+        ended_report word;
         time_point at;
     };
 
--- a/source/core/routing/evacuation_book.cpp
+++ b/source/core/routing/evacuation_registry.cpp
@@ -1,4 +1,4 @@
-#include "routing/evacuation_book.hpp"
+#include "routing/evacuation_registry.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -6,7 +6,7 @@
 
 namespace reedramp::routing {
 
-auto evacuation_book::replace(const told_evacuations& known) -> evacuation_change
+auto evacuation_registry::replace(const evacuation_report& known) -> evacuation_change
 {
     if (known.known_to <= this->known_to) {
         return {};
@@ -15,7 +15,7 @@
     return this->change_to({known.evacuated.begin(), known.evacuated.end()});
 }
 
-auto evacuation_book::follow(const std::vector<evacuation_order>& orders, stream_position end)
+auto evacuation_registry::follow(const std::vector<evacuation_order>& orders, stream_position end)
     -> evacuation_change
 {
     auto next = this->current;
@@ -35,12 +35,12 @@
     return this->change_to(std::move(next));
 }
 
-auto evacuation_book::tell() const -> told_evacuations
+auto evacuation_registry::tell() const -> evacuation_report
 {
     return {this->known_to, {this->current.begin(), this->current.end()}};
 }
 
-auto evacuation_book::change_to(std::set<common::data_centre_id> next) -> evacuation_change
+auto evacuation_registry::change_to(std::set<common::data_centre_id> next) -> evacuation_change
 {
     evacuation_change change;
     std::ranges::set_difference(next, this->current, std::back_inserter(change.evacuated));
--- a/source/core/routing/evacuation_book.hpp
+++ b/source/core/routing/evacuation_registry.hpp
@@ -18,7 +18,7 @@
 };
 
 /// All data centres that are evacuated, as one entry knows it and tells the others.
-struct told_evacuations {
+struct evacuation_report {
     /// What the operators wrote before this position is taken into account. 0: nothing is known.
     stream_position known_to;
     std::vector<common::data_centre_id> evacuated;
@@ -40,16 +40,16 @@
 /// The set follows from the operators' stream up to a position alone. So the set that is known up
 /// to the later position holds, whoever tells it and in whatever order words come, and an entry
 /// that missed a removal hears of it without a word on the removal itself.
-class evacuation_book {
+class evacuation_registry {
 public:
     /// The whole set: a reading of all keys, or what another entry knows.
-    auto replace(const told_evacuations& known) -> evacuation_change;
+    auto replace(const evacuation_report& known) -> evacuation_change;
 
     /// What a reading gave behind this entry's last one, up to `end`.
     auto follow(const std::vector<evacuation_order>& orders, stream_position end)
         -> evacuation_change;
 
-    [[nodiscard]] auto tell() const -> told_evacuations;
+    [[nodiscard]] auto tell() const -> evacuation_report;
 
     [[nodiscard]] auto evacuated() const -> const std::set<common::data_centre_id>&
     {
--- a/source/core/routing/list_freshness.cpp
+++ b/source/core/routing/list_freshness.cpp
@@ -40,7 +40,7 @@
     this->changed = 0;
 }
 
-auto list_freshness::is_news(const told_freshness& told) -> bool
+auto list_freshness::is_news(const freshness_report& told) -> bool
 {
     if (told.reader == 0) {
         return true;
@@ -59,7 +59,7 @@
     return is_new;
 }
 
-auto list_freshness::hear(const told_freshness& told, time_point now) -> bool
+auto list_freshness::hear(const freshness_report& told, time_point now) -> bool
 {
     const auto era_of = [](std::uint64_t at) {
         return stream_position{at}.era();
@@ -84,7 +84,7 @@
     return is_new;
 }
 
-auto list_freshness::tell(time_point now) const -> told_freshness
+auto list_freshness::tell(time_point now) const -> freshness_report
 {
     // What this entry has only been told of is not passed on as known: its list lacks it.
     const auto known = std::min(this->changed, this->position);
--- a/source/core/routing/list_freshness.hpp
+++ b/source/core/routing/list_freshness.hpp
@@ -14,7 +14,7 @@
 using common::time_point;
 
 /// How far an entry knows the servers' list, as it tells its peers.
-struct told_freshness {
+struct freshness_report {
     /// Position in the list's stream behind its last change.
     std::uint64_t changed = 0;
     /// How long ago the store was read, by any entry, without a later change.
@@ -82,7 +82,7 @@
     auto note_failure(time_point asked_at) -> void { this->contact.note_failure(asked_at); }
 
     /// True if that reading was not known yet.
-    auto hear(const told_freshness& told, time_point now) -> bool;
+    auto hear(const freshness_report& told, time_point now) -> bool;
 
     /// End of the store's last outage that this process has seen; see `store_contact`.
     [[nodiscard]] auto outage_ended(time_point now) const -> time_point
@@ -90,7 +90,7 @@
         return this->contact.outage_ended(now);
     }
 
-    [[nodiscard]] auto tell(time_point now) const -> told_freshness;
+    [[nodiscard]] auto tell(time_point now) const -> freshness_report;
 
     /// Where this entry's own reading stands; 0 before the first.
     [[nodiscard]] auto read_to() const -> std::uint64_t { return this->position; }
@@ -111,7 +111,7 @@
 
 private:
     /// Whether this entry has not heard of that reading yet; from then on it has.
-    auto is_news(const told_freshness& told) -> bool;
+    auto is_news(const freshness_report& told) -> bool;
 
     freshness_options settings;
     bool has_read = false;
--- a/source/core/routing/load_book.cpp
+++ b/source/core/routing/load_tracker.cpp
@@ -1,10 +1,10 @@
-#include "routing/load_book.hpp"
+#include "routing/load_tracker.hpp"
 
 #include <algorithm>
 
 namespace reedramp::routing {
 
-auto load_book::begin(const server_start& server, double work, double reading) -> void
+auto load_tracker::begin(const server_instance& server, double work, double reading) -> void
 {
     auto& load = this->ours[server];
     load.requests += 1.0;
@@ -12,7 +12,7 @@
     load.reading += reading;
 }
 
-auto load_book::end(const server_start& server, double work, double reading) -> void
+auto load_tracker::end(const server_instance& server, double work, double reading) -> void
 {
     const auto found = this->ours.find(server);
     if (found == this->ours.end()) {
@@ -27,7 +27,7 @@
     }
 }
 
-auto load_book::lighten(const server_start& server, double work) -> void
+auto load_tracker::lighten(const server_instance& server, double work) -> void
 {
     const auto found = this->ours.find(server);
     if (found != this->ours.end()) {
@@ -36,7 +36,7 @@
     }
 }
 
-auto load_book::add(const std::vector<told_load>& loads) const -> void
+auto load_tracker::add(const std::vector<load_report>& loads) const -> void
 {
     for (const auto& one : loads) {
         auto& sum = this->sums[one.server];
@@ -47,7 +47,7 @@
     }
 }
 
-auto load_book::take_off(const std::vector<told_load>& loads) const -> void
+auto load_tracker::take_off(const std::vector<load_report>& loads) const -> void
 {
     for (const auto& one : loads) {
         const auto found = this->sums.find(one.server);
@@ -66,8 +66,8 @@
     }
 }
 
-auto load_book::hear(
-    const common::host_id& peer, const std::vector<told_load>& loads, time_point trusted_until)
+auto load_tracker::hear(
+    const common::host_id& peer, const std::vector<load_report>& loads, time_point trusted_until)
     -> void
 {
     auto& words = this->peers[peer];
@@ -77,7 +77,7 @@
     this->next_expiry = std::min(this->next_expiry, trusted_until);
 }
 
-auto load_book::expire(time_point now) const -> void
+auto load_tracker::expire(time_point now) const -> void
 {
     if (now < this->next_expiry) {
         return;
@@ -95,7 +95,7 @@
     }
 }
 
-auto load_book::total(const server_start& server, time_point now) const -> server_load
+auto load_tracker::total(const server_instance& server, time_point now) const -> server_load
 {
     this->expire(now);
     auto load = this->own(server);
@@ -108,15 +108,15 @@
     return load;
 }
 
-auto load_book::own(const server_start& server) const -> server_load
+auto load_tracker::own(const server_instance& server) const -> server_load
 {
     const auto found = this->ours.find(server);
     return found == this->ours.end() ? server_load{} : found->second;
 }
 
-auto load_book::tell() const -> std::vector<told_load>
+auto load_tracker::tell() const -> std::vector<load_report>
 {
-    std::vector<told_load> all;
+    std::vector<load_report> all;
     all.reserve(this->ours.size());
     for (const auto& [server, load] : this->ours) {
         all.push_back({hash_of(server), load});
--- a/source/core/routing/load_book.hpp
+++ b/source/core/routing/load_tracker.hpp
@@ -24,7 +24,7 @@
 
 /// What one server has under way from one entry, as that entry tells its peers. Servers are named
 /// by a hash of their id.
-struct told_load {
+struct load_report {
     std::uint64_t server = 0;
     server_load load;
 };
@@ -38,34 +38,35 @@
 /// What peers say is added up as it comes, so that a look at a server costs the same with three
 /// entries as with hundreds: asked of each peer's words anew, a choice among 360 servers took
 /// 37,000 look-ups at 103 entries.
-class load_book {
+class load_tracker {
 public:
     /// `reading` of the work is the prompt.
-    auto begin(const server_start& server, double work, double reading = 0.0) -> void;
+    auto begin(const server_instance& server, double work, double reading = 0.0) -> void;
     /// What is left of the request's work, and of its prompt.
-    auto end(const server_start& server, double work, double reading = 0.0) -> void;
+    auto end(const server_instance& server, double work, double reading = 0.0) -> void;
 
     /// The prompt of a request has been read.
-    auto lighten(const server_start& server, double work) -> void;
+    auto lighten(const server_instance& server, double work) -> void;
 
     /// A peer's words replace its older ones, and count until `trusted_until`: an entry that has
     /// died has nothing under way.
-    auto
-    hear(const common::host_id& peer, const std::vector<told_load>& loads, time_point trusted_until)
-        -> void;
+    auto hear(
+        const common::host_id& peer,
+        const std::vector<load_report>& loads,
+        time_point trusted_until) -> void;
 
     /// Own and peers' together.
-    [[nodiscard]] auto total(const server_start& server, time_point now) const -> server_load;
+    [[nodiscard]] auto total(const server_instance& server, time_point now) const -> server_load;
 
-    [[nodiscard]] auto own(const server_start& server) const -> server_load;
+    [[nodiscard]] auto own(const server_instance& server) const -> server_load;
 
     /// For the peers.
-    [[nodiscard]] auto tell() const -> std::vector<told_load>;
+    [[nodiscard]] auto tell() const -> std::vector<load_report>;
 
 private:
-    struct peer_words {
+    struct peer_report {
         time_point trusted_until;
-        std::vector<told_load> loads;
+        std::vector<load_report> loads;
     };
 
     /// What all trusted peers have under way at one server.
@@ -76,14 +77,14 @@
         std::size_t words = 0;
     };
 
-    auto add(const std::vector<told_load>& loads) const -> void;
-    auto take_off(const std::vector<told_load>& loads) const -> void;
+    auto add(const std::vector<load_report>& loads) const -> void;
+    auto take_off(const std::vector<load_report>& loads) const -> void;
     /// Takes off what is not trusted any more.
     auto expire(time_point now) const -> void;
 
-    std::unordered_map<server_start, server_load> ours;
+    std::unordered_map<server_instance, server_load> ours;
     // Sums and what they hold follow the clock alone, also while the book is only looked at.
-    mutable std::map<common::host_id, peer_words> peers;
+    mutable std::map<common::host_id, peer_report> peers;
     mutable std::unordered_map<std::uint64_t, peers_sum> sums;
     /// No words lose their trust before this.
     mutable time_point next_expiry = common::never;
--- a/source/core/routing/loss_book.cpp
+++ b/source/core/routing/loss_tracker.cpp
@@ -1,4 +1,4 @@
-#include "routing/loss_book.hpp"
+#include "routing/loss_tracker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -14,14 +14,14 @@
 
 /// The losses of one version in one moment, and what it had under way.
 struct version_losses {
-    std::vector<loss_book::loss> all;
+    std::vector<loss_tracker::loss> all;
     unsigned under_way = 0;
 };
 
 /// Adds the losses of a version that are left when the other one's are set off, each by the
 /// requests under way here for one on the other; by one at the least.
 auto add_left_over(
-    std::vector<loss_book::loss>& to, const version_losses& own, const version_losses& other)
+    std::vector<loss_tracker::loss>& to, const version_losses& own, const version_losses& other)
     -> void
 {
     const auto ratio =
@@ -34,7 +34,7 @@
 
 } // namespace
 
-auto loss_book::settled(time_point now) -> std::vector<loss>
+auto loss_tracker::settled(time_point now) -> std::vector<loss>
 {
     std::vector<loss> counted;
     while (!this->losses.empty() && now - this->losses.front().at > together) {
--- a/source/core/routing/loss_book.hpp
+++ b/source/core/routing/loss_tracker.hpp
@@ -20,7 +20,7 @@
 /// is worse, at every entry. So what one version loses is set off against what the other one loses
 /// in the same second, by the requests that each had under way; what is left over counts. A version
 /// that ends its own servers is found as before, a second later.
-class loss_book {
+class loss_tracker {
 public:
     struct loss {
         time_point at;
--- a/source/core/routing/registration.hpp
+++ b/source/core/routing/registration.hpp
@@ -7,7 +7,7 @@
 
 #include "common/ids.hpp"
 #include "common/units.hpp"
-#include "routing/server_start.hpp"
+#include "routing/server_instance.hpp"
 
 namespace reedramp::routing {
 
@@ -35,7 +35,7 @@
     /// `hash_of` the id, so that ranking hundreds of servers hashes no text; the table sets it.
     std::uint64_t id_hash = 0;
 
-    [[nodiscard]] auto start() const -> server_start { return {this->id, this->born}; }
+    [[nodiscard]] auto start() const -> server_instance { return {this->id, this->born}; }
 
     [[nodiscard]] auto is_cold(time_point now) const -> bool { return this->cold_until > now; }
 };
--- a/source/core/routing/request_print.cpp
+++ b/source/core/routing/request_fingerprint.cpp
@@ -1,4 +1,4 @@
-#include "routing/request_print.hpp"
+#include "routing/request_fingerprint.hpp"
 
 #include <array>
 #include <charconv>
@@ -22,7 +22,7 @@
 
 } // namespace
 
-auto print_of(const request_content& content) -> request_print
+auto print_of(const request_content& content) -> request_fingerprint
 {
     auto id = boost::uuids::nil_uuid();
     for (const auto field :
@@ -32,10 +32,10 @@
     // The version and variant, 6 bits that are the same in all, stand in different halves.
     std::array<std::uint64_t, 2> halves{};
     std::memcpy(halves.data(), id.data, sizeof(halves));
-    return request_print{halves[0] ^ halves[1]};
+    return request_fingerprint{halves[0] ^ halves[1]};
 }
 
-auto to_string(request_print print) -> std::string
+auto to_string(request_fingerprint print) -> std::string
 {
     std::array<char, 17> digits{};
     std::snprintf(
@@ -46,7 +46,7 @@
     return digits.data();
 }
 
-auto parse_request_print(std::string_view text) -> std::optional<request_print>
+auto parse_request_print(std::string_view text) -> std::optional<request_fingerprint>
 {
     constexpr std::size_t digits = 16;
     constexpr int hexadecimal = 16;
@@ -56,7 +56,7 @@
     if (text.size() != digits || read.ec != std::errc{} || read.ptr != last || value == 0) {
         return std::nullopt;
     }
-    return request_print{value};
+    return request_fingerprint{value};
 }
 
 } // namespace reedramp::routing
--- a/source/core/routing/rollout_guide.hpp
+++ b/source/core/routing/rollout_guide.hpp
@@ -9,11 +9,11 @@
 
 #include "routing/configuration.hpp"
 #include "routing/load_effect.hpp"
-#include "routing/loss_book.hpp"
+#include "routing/loss_tracker.hpp"
 #include "routing/request_rate.hpp"
 #include "routing/rollout.hpp"
 #include "routing/server_table.hpp"
-#include "routing/session_book.hpp"
+#include "routing/session_table.hpp"
 #include "routing/version_evidence.hpp"
 #include "routing/version_rule.hpp"
 
@@ -47,7 +47,7 @@
 };
 
 /// One entry's words about a roll-out, for its peers.
-struct told_rollout {
+struct rollout_report {
     common::service_name service;
     common::version_id target;
     /// Time that the order allows, and how much of it has passed.
@@ -55,7 +55,7 @@
     std::chrono::milliseconds elapsed{0};
     /// Requests under way at other versions, and sessions that last there.
     unsigned left_on_old = 0;
-    std::map<route_name, told_evidence> evidence;
+    std::map<route_name, evidence_report> evidence;
     /// Share of sessions that this entry sends to the new version.
     double share = 0.0;
     /// The share of the first half, as this entry has worked it out; 0 before.
@@ -66,7 +66,7 @@
     /// The store has this state.
     bool is_written = false;
     /// Sessions of the first share that this entry keeps on another version; in the first half.
-    std::vector<told_session> old_sessions;
+    std::vector<session_report> old_sessions;
 };
 
 /// How far one roll-out is at this entry.
@@ -103,9 +103,9 @@
     [[nodiscard]] auto orders_taken() const -> std::uint64_t { return this->orders; }
 
     auto learn(const rollout_status& status) -> void;
-    auto hear(const common::host_id& peer, const std::vector<told_rollout>& words, time_point now)
+    auto hear(const common::host_id& peer, const std::vector<rollout_report>& words, time_point now)
         -> void;
-    [[nodiscard]] auto tell(time_point now) const -> std::vector<told_rollout>;
+    [[nodiscard]] auto tell(time_point now) const -> std::vector<rollout_report>;
 
     /// The newest roll-out of each service and how far it is here, for the state page.
     [[nodiscard]] auto states(time_point now) const -> std::vector<rollout_progress>;
@@ -133,7 +133,7 @@
         bool is_good) -> void;
 
     /// The connection to the server ended in the midst of a request. Whether that speaks against
-    /// the version shows a second later, see `loss_book`.
+    /// the version shows a second later, see `loss_tracker`.
     auto note_lost(
         const common::service_name& service,
         const common::version_id& version,
@@ -173,7 +173,7 @@
     [[nodiscard]] auto due(time_point now) const -> std::vector<rollout_status>;
 
 private:
-    struct peer_words {
+    struct peer_report {
         time_point heard;
         unsigned left_on_old = 0;
         double rate = 0.0;
@@ -186,7 +186,7 @@
         /// The store's state; none before it has one for this target.
         std::optional<rollout_state> written;
         version_evidence evidence;
-        std::map<common::host_id, peer_words> peers;
+        std::map<common::host_id, peer_report> peers;
         /// The largest share so far, at any entry: a session that has moved does not move back.
         double reached_share = 0.0;
         /// The share of the first half, the largest of all entries' once it has begun. It tells
@@ -210,7 +210,7 @@
     };
 
     auto settle_losses(const common::service_name& service, time_point now) -> void;
-    auto hear_other_order(const rollout& ours, const told_rollout& told, time_point now) -> void;
+    auto hear_other_order(const rollout& ours, const rollout_report& told, time_point now) -> void;
     auto infer_end(const rollout& one, time_point now) -> void;
     auto note_end(
         const common::service_name& service, const common::version_id& target, rollout_state state)
@@ -253,7 +253,7 @@
     /// Whether the roll-out's share has grown: from then on sessions may change their version.
     [[nodiscard]] auto may_move(const rollout& one, time_point now) const -> bool;
     [[nodiscard]] auto sessions_to_tell(const rollout& one, time_point now) const
-        -> std::vector<told_session>;
+        -> std::vector<session_report>;
 
     rollout_options settings;
     std::uint64_t orders = 0;
@@ -265,9 +265,9 @@
     std::map<common::service_name, version_evidence> calm;
     /// States that were read before their order.
     std::map<common::service_name, rollout_status> early;
-    session_book sessions;
+    session_table sessions;
     std::map<std::pair<common::service_name, common::version_id>, unsigned> under_way;
-    std::map<common::service_name, loss_book> losses;
+    std::map<common::service_name, loss_tracker> losses;
     std::map<common::service_name, load_effect> load_effects;
     std::map<common::service_name, request_rate> rates;
     std::map<std::pair<common::service_name, common::version_id>, request_rate> version_rates;
--- a/source/core/routing/rollout_outcomes.cpp
+++ b/source/core/routing/rollout_outcomes.cpp
@@ -116,7 +116,7 @@
         this->note_outcome(service, version, route, false);
         return;
     }
-    loss_book::loss lost{now, side_of(one->order, version), route};
+    loss_tracker::loss lost{now, side_of(one->order, version), route};
     for (const auto& [key, count] : this->under_way) {
         if (key.first == service) {
             const bool is_new = key.second == one->order.target;
--- a/source/core/routing/rollout_peers.cpp
+++ b/source/core/routing/rollout_peers.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 auto rollout_guide::hear(
-    const common::host_id& peer, const std::vector<told_rollout>& words, time_point now) -> void
+    const common::host_id& peer, const std::vector<rollout_report>& words, time_point now) -> void
 {
     this->peers_heard[peer] = now;
     std::erase_if(
@@ -60,8 +60,8 @@
     }
 }
 
-auto rollout_guide::hear_other_order(const rollout& ours, const told_rollout& told, time_point now)
-    -> void
+auto rollout_guide::hear_other_order(
+    const rollout& ours, const rollout_report& told, time_point now) -> void
 {
     const auto began = now - told.elapsed;
     if (told.state == rollout_state::running && began > ours.began + order_distance) {
@@ -73,12 +73,12 @@
     }
 }
 
-auto rollout_guide::tell(time_point now) const -> std::vector<told_rollout>
+auto rollout_guide::tell(time_point now) const -> std::vector<rollout_report>
 {
-    std::vector<told_rollout> all;
+    std::vector<rollout_report> all;
     for (const auto& [service, one] : this->rollouts) {
         const auto rate = this->rates.find(service);
-        told_rollout told{
+        rollout_report told{
             service,
             one.order.target,
             one.order.allowed,
@@ -102,7 +102,7 @@
 }
 
 auto rollout_guide::sessions_to_tell(const rollout& one, time_point now) const
-    -> std::vector<told_session>
+    -> std::vector<session_report>
 {
     if (one.state != rollout_state::running || this->may_move(one, now)) {
         return {};
--- a/source/core/routing/entry_turns.cpp
+++ b/source/core/routing/send_slot_schedule.cpp
@@ -1,4 +1,4 @@
-#include "routing/entry_turns.hpp"
+#include "routing/send_slot_schedule.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -29,7 +29,7 @@
 
 } // namespace
 
-auto entry_turns::place_at(time_point now) const -> entry_place
+auto send_slot_schedule::place_at(time_point now) const -> entry_rank
 {
     if (this->place_known_at != now && this->hooks.place) {
         this->known_place = this->hooks.place();
@@ -38,7 +38,7 @@
     return this->known_place;
 }
 
-auto entry_turns::shared_seconds(time_point now) const -> double
+auto send_slot_schedule::shared_seconds(time_point now) const -> double
 {
     if (!this->hooks.unix_ms) {
         return std::chrono::duration<double>(now.time_since_epoch()).count();
@@ -47,8 +47,8 @@
     return static_cast<double>(this->hooks.unix_ms()) / ms_per_second;
 }
 
-auto entry_turns::turn_at(const registration& server, double per_second, time_point now) const
-    -> turn
+auto send_slot_schedule::turn_at(
+    const registration& server, double per_second, time_point now) const -> turn
 {
     const auto place = this->place_at(now);
     const auto entries = static_cast<double>(std::max<std::size_t>(place.of, 1));
@@ -70,15 +70,15 @@
     return found;
 }
 
-auto entry_turns::next_turn(const registration& server, double per_second, time_point now) const
-    -> time_point
+auto send_slot_schedule::next_turn(
+    const registration& server, double per_second, time_point now) const -> time_point
 {
     const auto current = this->turn_at(server, per_second, now);
     return current.is_open ? now : current.begins + current.period;
 }
 
-auto entry_turns::forget_if(const std::function<auto(const server_start& server)->bool>& is_gone)
-    -> void
+auto send_slot_schedule::forget_if(
+    const std::function<auto(const server_instance& server)->bool>& is_gone) -> void
 {
     std::erase_if(this->last_sent, [&is_gone](const auto& item) { return is_gone(item.first); });
 }
--- a/source/core/routing/entry_turns.hpp
+++ b/source/core/routing/send_slot_schedule.hpp
@@ -7,22 +7,22 @@
 #include <unordered_map>
 #include <utility>
 
-#include "routing/server_start.hpp"
+#include "routing/server_instance.hpp"
 #include "routing/server_table.hpp"
 
 namespace reedramp::routing {
 
 /// This entry's place among all that send to the same servers.
-struct entry_place {
+struct entry_rank {
     /// 0 for the first; each has another one, as far as they know of each other.
     std::size_t number = 0;
     /// How many they are, this one included.
     std::size_t of = 1;
 };
 
-struct turn_hooks {
+struct send_slot_hooks {
     /// Empty: this entry is alone.
-    std::function<auto()->entry_place> place = {};
+    std::function<auto()->entry_rank> place = {};
     /// Milliseconds since 1970, about the same at all entries. Empty: by the clock of the calls.
     std::function<auto()->std::uint64_t> unix_ms = {};
 };
@@ -34,9 +34,9 @@
 /// request a second it comes to turns. They follow each other by the entries' places and the time
 /// of day, so that they fall evenly: drawn by chance, as many as come together now and then among a
 /// hundred entries would pass a bound that is not much above the rate.
-class entry_turns {
+class send_slot_schedule {
 public:
-    explicit entry_turns(turn_hooks hooks_to_use) : hooks(std::move(hooks_to_use)) {}
+    explicit send_slot_schedule(send_slot_hooks hooks_to_use) : hooks(std::move(hooks_to_use)) {}
 
     /// Whether a request may go to the server now, which takes `per_second` from all entries.
     [[nodiscard]] auto may_take(const registration& server, double per_second, time_point now) const
@@ -50,13 +50,13 @@
     next_turn(const registration& server, double per_second, time_point now) const -> time_point;
 
     /// A request goes to the server.
-    auto note_sent(const server_start& server, time_point now) -> void
+    auto note_sent(const server_instance& server, time_point now) -> void
     {
         this->last_sent[server] = now;
     }
 
     /// Forgets those that `is_gone`.
-    auto forget_if(const std::function<auto(const server_start& server)->bool>& is_gone) -> void;
+    auto forget_if(const std::function<auto(const server_instance& server)->bool>& is_gone) -> void;
 
 private:
     struct turn {
@@ -67,14 +67,14 @@
 
     [[nodiscard]] auto turn_at(const registration& server, double per_second, time_point now) const
         -> turn;
-    [[nodiscard]] auto place_at(time_point now) const -> entry_place;
+    [[nodiscard]] auto place_at(time_point now) const -> entry_rank;
     /// Seconds, about the same at all entries.
     [[nodiscard]] auto shared_seconds(time_point now) const -> double;
 
-    turn_hooks hooks;
-    std::unordered_map<server_start, time_point> last_sent;
+    send_slot_hooks hooks;
+    std::unordered_map<server_instance, time_point> last_sent;
     /// A choice asks for many servers at one moment.
-    mutable entry_place known_place;
+    mutable entry_rank known_place;
     mutable time_point place_known_at = common::never;
 };
 
--- a/source/core/routing/server_choice.cpp
+++ b/source/core/routing/server_choice.cpp
@@ -23,7 +23,7 @@
 /// Which servers a request may go to.
 class eligibility {
 public:
-    eligibility(const placement_request& request, const server_books& known, time_point moment)
+    eligibility(const placement_request& request, const server_trackers& known, time_point moment)
         : asked(request), books(known), now(moment)
     {
     }
@@ -48,7 +48,7 @@
 
 private:
     const placement_request& asked;
-    const server_books& books;
+    const server_trackers& books;
     time_point now;
 };
 
@@ -160,12 +160,12 @@
 auto cost_at(
     const registration& server,
     const placement_request& asked,
-    const server_books& books,
+    const server_trackers& books,
     const choice_options& options,
     time_point now) -> double
 {
     const auto start = server.start();
-    const bool is_spared = intake_book::is_spared(server, books.cold_per_second, now);
+    const bool is_spared = server_limiter::is_spared(server, books.cold_per_second, now);
     const auto slowness = books.paces.slowness(start) * (is_spared ? options.cold_slowness : 1.0);
     const auto cost = slowness * (books.loads.total(start, now).work + asked.work);
     const bool is_far = server.data_centre != asked.own_data_centre;
@@ -177,7 +177,7 @@
 auto choose_server(
     const std::vector<const registration*>& usable,
     const placement_request& asked,
-    const server_books& books,
+    const server_trackers& books,
     const choice_options& options,
     std::uint64_t chance,
     time_point now) -> const registration*
--- a/source/core/routing/server_choice.hpp
+++ b/source/core/routing/server_choice.hpp
@@ -4,10 +4,10 @@
 #include <cstdint>
 #include <vector>
 
-#include "routing/intake_book.hpp"
-#include "routing/load_book.hpp"
-#include "routing/pace_book.hpp"
+#include "routing/load_tracker.hpp"
 #include "routing/server_health.hpp"
+#include "routing/server_limiter.hpp"
+#include "routing/server_speed_tracker.hpp"
 #include "routing/server_table.hpp"
 
 namespace reedramp::routing {
@@ -21,7 +21,7 @@
     /// Work that a server saves when it holds that part, in the load book's unit.
     double saved_work = 0.0;
     /// Servers that have had this request.
-    std::vector<server_start> tried;
+    std::vector<server_instance> tried;
     common::data_centre_id own_data_centre;
 };
 
@@ -44,12 +44,12 @@
 };
 
 /// What a choice asks about servers.
-struct server_books {
-    const load_book& loads;
-    const pace_book& paces;
+struct server_trackers {
+    const load_tracker& loads;
+    const server_speed_tracker& paces;
     const server_health& health;
     /// Null: all servers take any number of requests.
-    const intake_book* intake = nullptr;
+    const server_limiter* intake = nullptr;
     /// Requests a second that a cold server of the service bears; 0 if it bears all.
     double cold_per_second = 0.0;
 };
@@ -67,7 +67,7 @@
 auto choose_server(
     const std::vector<const registration*>& usable,
     const placement_request& asked,
-    const server_books& books,
+    const server_trackers& books,
     const choice_options& options,
     std::uint64_t chance,
     time_point now) -> const registration*;
--- a/source/core/routing/server_health.cpp
+++ b/source/core/routing/server_health.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-auto server_health::note(const server_start& server, server_outcome outcome, time_point now) -> void
+auto server_health::note(const server_instance& server, server_outcome outcome, time_point now)
+    -> void
 {
     auto& of = this->servers[server];
     if (outcome == server_outcome::refused) {
@@ -40,7 +41,7 @@
     this->judge_pooled(hash_of(server), now);
 }
 
-auto server_health::is_resting(const server_start& server, time_point now) const -> bool
+auto server_health::is_resting(const server_instance& server, time_point now) const -> bool
 {
     const auto found = this->servers.find(server);
     if (found != this->servers.end() && found->second.own.until > now) {
@@ -50,14 +51,14 @@
     return told != this->pooled_rests.end() && told->second.until > now;
 }
 
-auto server_health::failures(const server_start& server) const -> double
+auto server_health::failures(const server_instance& server) const -> double
 {
     const auto found = this->servers.find(server);
     return found == this->servers.end() ? 0.0 : found->second.failures;
 }
 
-auto server_health::forget_if(const std::function<auto(const server_start& server)->bool>& is_gone)
-    -> void
+auto server_health::forget_if(
+    const std::function<auto(const server_instance& server)->bool>& is_gone) -> void
 {
     std::erase_if(this->servers, [&is_gone](const auto& item) { return is_gone(item.first); });
 }
@@ -88,9 +89,9 @@
     return {of.good * kept, of.bad * kept, now};
 }
 
-auto server_health::tell(time_point now) const -> std::vector<told_outcomes>
+auto server_health::tell(time_point now) const -> std::vector<outcome_report>
 {
-    std::vector<told_outcomes> all;
+    std::vector<outcome_report> all;
     for (const auto& [server, one] : this->servers) {
         const auto recent = faded(one.recent, now);
         if (recent.bad >= least_told) {
@@ -102,7 +103,7 @@
 
 auto server_health::hear(
     const common::host_id& peer,
-    const std::vector<told_outcomes>& words,
+    const std::vector<outcome_report>& words,
     time_point trusted_until,
     time_point now) -> void
 {
--- a/source/core/routing/server_health.hpp
+++ b/source/core/routing/server_health.hpp
@@ -8,7 +8,7 @@
 
 #include "common/ids.hpp"
 #include "common/units.hpp"
-#include "routing/server_start.hpp"
+#include "routing/server_instance.hpp"
 
 namespace reedramp::routing {
 
@@ -47,7 +47,7 @@
 
 /// What one entry has seen lately of a server that failed there, for its peers. Servers are named
 /// by a hash of their id; counts forget within some seconds.
-struct told_outcomes {
+struct outcome_report {
     std::uint64_t server = 0;
     double good = 0.0;
     double bad = 0.0;
@@ -63,23 +63,23 @@
 public:
     explicit server_health(health_options options) : settings(options) {}
 
-    auto note(const server_start& server, server_outcome outcome, time_point now) -> void;
+    auto note(const server_instance& server, server_outcome outcome, time_point now) -> void;
 
-    [[nodiscard]] auto is_resting(const server_start& server, time_point now) const -> bool;
+    [[nodiscard]] auto is_resting(const server_instance& server, time_point now) const -> bool;
 
     /// Share of failures, 0 to 1, newest weighted most.
-    [[nodiscard]] auto failures(const server_start& server) const -> double;
+    [[nodiscard]] auto failures(const server_instance& server) const -> double;
 
     /// Forgets those that `is_gone`.
-    auto forget_if(const std::function<auto(const server_start& server)->bool>& is_gone) -> void;
+    auto forget_if(const std::function<auto(const server_instance& server)->bool>& is_gone) -> void;
 
     /// For the peers.
-    [[nodiscard]] auto tell(time_point now) const -> std::vector<told_outcomes>;
+    [[nodiscard]] auto tell(time_point now) const -> std::vector<outcome_report>;
 
     /// A peer's words replace its older ones, and count until `trusted_until`.
     auto hear(
         const common::host_id& peer,
-        const std::vector<told_outcomes>& words,
+        const std::vector<outcome_report>& words,
         time_point trusted_until,
         time_point now) -> void;
 
@@ -103,9 +103,9 @@
         recent_outcomes recent;
     };
 
-    struct peer_words {
+    struct peer_report {
         time_point trusted_until;
-        std::unordered_map<std::uint64_t, told_outcomes> servers;
+        std::unordered_map<std::uint64_t, outcome_report> servers;
     };
 
     auto rest(rests& of, time_point now) const -> void;
@@ -119,10 +119,10 @@
     auto judge_pooled(std::uint64_t server, time_point now) -> void;
 
     health_options settings;
-    std::unordered_map<server_start, record> servers;
+    std::unordered_map<server_instance, record> servers;
     /// By the hash of the server's id.
     std::unordered_map<std::uint64_t, rests> pooled_rests;
-    std::map<common::host_id, peer_words> peers;
+    std::map<common::host_id, peer_report> peers;
     double mean_failures = 0.0;
 };
 
--- a/source/core/routing/intake_book.cpp
+++ b/source/core/routing/server_limiter.cpp
@@ -1,16 +1,16 @@
-#include "routing/intake_book.hpp"
+#include "routing/server_limiter.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace reedramp::routing {
 
-intake_book::intake_book(intake_options options, turn_hooks hooks)
+server_limiter::server_limiter(server_limiter_options options, send_slot_hooks hooks)
     : settings(options), turns(std::move(hooks))
 {
 }
 
-auto intake_book::aimed_per_second(
+auto server_limiter::aimed_per_second(
     const registration& server, double cold_per_second, time_point now) const
     -> std::optional<double>
 {
@@ -26,13 +26,13 @@
     return std::min(limit.value_or(cold), cold);
 }
 
-auto intake_book::note_rest(const server_start& server, time_point until) -> void
+auto server_limiter::note_rest(const server_instance& server, time_point until) -> void
 {
     auto& known = this->rests[server];
     known = std::max(known, until);
 }
 
-auto intake_book::rests_until(const registration& server) const -> time_point
+auto server_limiter::rests_until(const registration& server) const -> time_point
 {
     if (this->rests.empty()) {
         return {};
@@ -41,13 +41,13 @@
     return found == this->rests.end() ? time_point{} : found->second;
 }
 
-auto intake_book::takes_few(const registration& server, time_point now) const -> bool
+auto server_limiter::takes_few(const registration& server, time_point now) const -> bool
 {
     return server.is_cold(now) || this->is_limited(server) || this->rests_until(server) > now;
 }
 
-auto intake_book::may_take(const registration& server, double cold_per_second, time_point now) const
-    -> bool
+auto server_limiter::may_take(
+    const registration& server, double cold_per_second, time_point now) const -> bool
 {
     if (this->rests_until(server) > now) {
         return false;
@@ -56,7 +56,7 @@
     return !aimed || this->turns.may_take(server, *aimed, now);
 }
 
-auto intake_book::next_turn(
+auto server_limiter::next_turn(
     const registration& server, double cold_per_second, time_point now) const -> time_point
 {
     const auto rested = std::max(this->rests_until(server), now);
@@ -69,14 +69,14 @@
     return this->is_limited(server) ? next : std::min(next, server.cold_until);
 }
 
-auto intake_book::takes_callers_at(
+auto server_limiter::takes_callers_at(
     const registration& server, double cold_per_second, time_point now) const -> time_point
 {
     return this->is_limited(server) ? this->next_turn(server, cold_per_second, now)
                                     : std::max({server.cold_until, this->rests_until(server), now});
 }
 
-auto intake_book::note_sent(const registration& server, double cold_per_second, time_point now)
+auto server_limiter::note_sent(const registration& server, double cold_per_second, time_point now)
     -> void
 {
     if (this->aimed_per_second(server, cold_per_second, now)) {
@@ -84,8 +84,8 @@
     }
 }
 
-auto intake_book::forget_if(
-    const std::function<auto(const server_start& server)->bool>& is_gone, time_point now) -> void
+auto server_limiter::forget_if(
+    const std::function<auto(const server_instance& server)->bool>& is_gone, time_point now) -> void
 {
     this->turns.forget_if(is_gone);
     std::erase_if(this->rests, [now](const auto& item) { return item.second <= now; });
--- a/source/core/routing/intake_book.hpp
+++ b/source/core/routing/server_limiter.hpp
@@ -4,12 +4,12 @@
 #include <optional>
 #include <unordered_map>
 
-#include "routing/entry_turns.hpp"
+#include "routing/send_slot_schedule.hpp"
 #include "routing/server_limits.hpp"
 
 namespace reedramp::routing {
 
-struct intake_options {
+struct server_limiter_options {
     /// A cold server bears this many times its service's rate, and this many requests more, in a
     /// second; above that it fails.
     double cold_excess = 1.0;
@@ -28,9 +28,9 @@
 /// What servers take: how many requests a second from all entries together, with this entry's part
 /// of that, and none for a time from an entry that a server asks for rest. A server that is cold,
 /// or that has named a limit, takes requests in turns; any other one takes all.
-class intake_book {
+class server_limiter {
 public:
-    intake_book(intake_options options, turn_hooks hooks);
+    server_limiter(server_limiter_options options, send_slot_hooks hooks);
 
     /// What servers have named in their answers.
     [[nodiscard]] auto limits() -> server_limits& { return this->named; }
@@ -55,7 +55,7 @@
     [[nodiscard]] auto takes_few(const registration& server, time_point now) const -> bool;
 
     /// The server wants nothing from this entry before `until`. Of two rests the later end counts.
-    auto note_rest(const server_start& server, time_point until) -> void;
+    auto note_rest(const server_instance& server, time_point until) -> void;
 
     /// Until when it wants nothing; a moment that has passed if it takes requests.
     [[nodiscard]] auto rests_until(const registration& server) const -> time_point;
@@ -79,8 +79,8 @@
     auto note_sent(const registration& server, double cold_per_second, time_point now) -> void;
 
     /// Forgets servers that `is_gone`, and words of long ago.
-    auto
-    forget_if(const std::function<auto(const server_start& server)->bool>& is_gone, time_point now)
+    auto forget_if(
+        const std::function<auto(const server_instance& server)->bool>& is_gone, time_point now)
         -> void;
 
 private:
@@ -96,10 +96,10 @@
     aimed_per_second(const registration& server, double cold_per_second, time_point now) const
         -> std::optional<double>;
 
-    intake_options settings;
+    server_limiter_options settings;
     server_limits named;
-    entry_turns turns;
-    std::unordered_map<server_start, time_point> rests;
+    send_slot_schedule turns;
+    std::unordered_map<server_instance, time_point> rests;
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/server_limits.cpp
+++ b/source/core/routing/server_limits.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 auto server_limits::note(
-    const server_start& server, std::optional<double> per_second, time_point now) -> limit_change
+    const server_instance& server, std::optional<double> per_second, time_point now) -> limit_change
 {
     // Nothing was said of most servers, ever.
     if (!per_second && this->words.empty()) {
@@ -38,12 +38,12 @@
     return this->take(hash, {per_second, now, true});
 }
 
-auto server_limits::note_odd(const server_start& server) -> bool
+auto server_limits::note_odd(const server_instance& server) -> bool
 {
     return this->odd.size() < most_kept && this->odd.insert(hash_of(server)).second;
 }
 
-auto server_limits::hear(const told_limit& told, time_point now) -> limit_change
+auto server_limits::hear(const limit_report& told, time_point now) -> limit_change
 {
     return this->take(told.server, {told.per_second, now - told.age, false});
 }
@@ -76,9 +76,9 @@
     return before ? limit_change::changed : limit_change::named;
 }
 
-auto server_limits::tell(time_point now) const -> std::vector<told_limit>
+auto server_limits::tell(time_point now) const -> std::vector<limit_report>
 {
-    std::vector<told_limit> told;
+    std::vector<limit_report> told;
     for (const auto& [server, one] : this->words) {
         if (one.is_own && now - one.said_at < told_for) {
             const auto age =
@@ -86,12 +86,12 @@
             told.push_back({server, one.per_second, age});
         }
     }
-    std::ranges::sort(told, {}, &told_limit::age);
+    std::ranges::sort(told, {}, &limit_report::age);
     told.resize(std::min(told.size(), most_told));
     return told;
 }
 
-auto server_limits::per_second(const server_start& server) const -> std::optional<double>
+auto server_limits::per_second(const server_instance& server) const -> std::optional<double>
 {
     if (!this->has_any()) {
         return std::nullopt;
--- a/source/core/routing/server_limits.hpp
+++ b/source/core/routing/server_limits.hpp
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "common/units.hpp"
-#include "routing/server_start.hpp"
+#include "routing/server_instance.hpp"
 
 namespace reedramp::routing {
 
 using common::time_point;
 
 /// What an entry has read of a server's limit in an answer, for its peers.
-struct told_limit {
+struct limit_report {
     /// `hash_of` the start.
     std::uint64_t server = 0;
     /// Requests a second from all entries together; none: it takes any number.
@@ -45,23 +45,23 @@
 class server_limits {
 public:
     /// An answer of the server has come here.
-    auto note(const server_start& server, std::optional<double> per_second, time_point now)
+    auto note(const server_instance& server, std::optional<double> per_second, time_point now)
         -> limit_change;
 
     /// An answer names what is no limit. True the first time.
-    auto note_odd(const server_start& server) -> bool;
+    auto note_odd(const server_instance& server) -> bool;
 
     /// A peer's word.
-    auto hear(const told_limit& told, time_point now) -> limit_change;
+    auto hear(const limit_report& told, time_point now) -> limit_change;
 
     /// For the peers, the newest words first.
-    [[nodiscard]] auto tell(time_point now) const -> std::vector<told_limit>;
+    [[nodiscard]] auto tell(time_point now) const -> std::vector<limit_report>;
 
     /// Whether any server has a limit.
     [[nodiscard]] auto has_any() const -> bool { return this->limited > 0; }
 
     /// Requests a second from all entries together; none: it takes any number.
-    [[nodiscard]] auto per_second(const server_start& server) const -> std::optional<double>;
+    [[nodiscard]] auto per_second(const server_instance& server) const -> std::optional<double>;
 
     /// Forgets words of long ago.
     auto forget_old(time_point now) -> void;
--- a/source/core/routing/pace_book.cpp
+++ b/source/core/routing/server_speed_tracker.cpp
@@ -1,4 +1,4 @@
-#include "routing/pace_book.hpp"
+#include "routing/server_speed_tracker.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -25,7 +25,7 @@
 
 } // namespace
 
-auto pace_book::add_sample(record& to, double sample, double weight_of_newest) -> void
+auto server_speed_tracker::add_sample(record& to, double sample, double weight_of_newest) -> void
 {
     to.samples += 1;
     // The first samples count alike; else the very first one would stand for many.
@@ -33,8 +33,8 @@
     to.time_per_work += weight * (sample - to.time_per_work);
 }
 
-auto pace_book::note(const server_start& server, std::chrono::milliseconds took, double work)
-    -> void
+auto server_speed_tracker::note(
+    const server_instance& server, std::chrono::milliseconds took, double work) -> void
 {
     const auto sample = static_cast<double>(took.count()) / (work + fixed_work);
     add_sample(this->servers[server], sample, memory);
@@ -44,14 +44,14 @@
     this->work_sum = this->work_sum * kept + work + fixed_work;
 }
 
-auto pace_book::expected(double work) const -> std::chrono::milliseconds
+auto server_speed_tracker::expected(double work) const -> std::chrono::milliseconds
 {
     const auto time_per_work = this->work_sum > 0.0 ? this->time_sum / this->work_sum : 0.0;
     return std::chrono::milliseconds{
         static_cast<std::int64_t>(time_per_work * (work + fixed_work))};
 }
 
-auto pace_book::slowness(const server_start& server) const -> double
+auto server_speed_tracker::slowness(const server_instance& server) const -> double
 {
     const auto found = this->servers.find(server);
     const bool is_known =
@@ -62,7 +62,7 @@
     return std::clamp(found->second.time_per_work / this->usual, least_slowness, most_slowness);
 }
 
-auto pace_book::find_usual() -> void
+auto server_speed_tracker::find_usual() -> void
 {
     std::vector<double> paces;
     for (const auto& [id, one] : this->servers) {
@@ -78,8 +78,8 @@
     this->usual = *middle;
 }
 
-auto pace_book::forget_if(const std::function<auto(const server_start& server)->bool>& is_gone)
-    -> void
+auto server_speed_tracker::forget_if(
+    const std::function<auto(const server_instance& server)->bool>& is_gone) -> void
 {
     std::erase_if(this->servers, [&is_gone](const auto& item) { return is_gone(item.first); });
 }
--- a/source/core/routing/server_table.cpp
+++ b/source/core/routing/server_table.cpp
@@ -202,7 +202,7 @@
     return table_event::unreadable;
 }
 
-auto server_table::retire(const server_start& start, time_point now) -> void
+auto server_table::retire(const server_instance& start, time_point now) -> void
 {
     auto& known = this->servers[start.id];
     if (known.last.id != start.id) {
@@ -214,9 +214,9 @@
     }
 }
 
-auto server_table::end_lapsed(std::uint64_t read_to, time_point now) -> std::vector<server_start>
+auto server_table::end_lapsed(std::uint64_t read_to, time_point now) -> std::vector<server_instance>
 {
-    std::vector<server_start> ended;
+    std::vector<server_instance> ended;
     std::erase_if(this->servers, [&ended](const auto& item) {
         if (item.second.state == server_state::lapsed) {
             ended.push_back(item.second.last.start());
@@ -232,7 +232,7 @@
     return ended;
 }
 
-auto server_table::drop(const server_start& start, time_point now) -> void
+auto server_table::drop(const server_instance& start, time_point now) -> void
 {
     const auto found = this->servers.find(start.id);
     const bool is_meant = found != this->servers.end() && found->second.gets_work() &&
@@ -277,13 +277,13 @@
 }
 
 auto server_table::retire_named(const std::vector<std::uint64_t>& hashes, time_point now)
-    -> std::vector<server_start>
+    -> std::vector<server_instance>
 {
     // Forty messages a second, and mostly there is nothing in them.
     if (hashes.empty()) {
         return {};
     }
-    std::vector<server_start> named;
+    std::vector<server_instance> named;
     for (auto& [id, known] : this->servers) {
         const auto start = known.last.start();
         if (std::ranges::find(hashes, hash_of(start)) == hashes.end()) {
@@ -297,17 +297,17 @@
 }
 
 auto server_table::end_named(
-    const std::vector<told_end>& ends, std::uint64_t read_to, time_point now)
-    -> std::vector<server_start>
+    const std::vector<ended_report>& ends, std::uint64_t read_to, time_point now)
+    -> std::vector<server_instance>
 {
     if (ends.empty()) {
         return {};
     }
-    std::vector<server_start> ended;
+    std::vector<server_instance> ended;
     std::erase_if(this->servers, [&](const auto& item) {
         const auto start = item.second.last.start();
         const auto hash = hash_of(start);
-        const auto is_meant = [hash, read_to](const told_end& end) {
+        const auto is_meant = [hash, read_to](const ended_report& end) {
             return end.read_to > read_to && end.server == hash;
         };
         const bool ends_here = item.second.gets_work() && std::ranges::any_of(ends, is_meant);
@@ -393,7 +393,7 @@
     return gets_work ? &found->second.last : nullptr;
 }
 
-auto server_table::find_named(std::uint64_t hash) const -> std::optional<server_start>
+auto server_table::find_named(std::uint64_t hash) const -> std::optional<server_instance>
 {
     for (const auto& [id, known] : this->servers) {
         if (known.gets_work() && hash_of(known.last.start()) == hash) {
--- a/source/core/routing/server_table.hpp
+++ b/source/core/routing/server_table.hpp
@@ -9,9 +9,9 @@
 
 #include "common/ids.hpp"
 #include "common/units.hpp"
-#include "routing/departures.hpp"
+#include "routing/departure_tracker.hpp"
 #include "routing/registration.hpp"
-#include "routing/server_start.hpp"
+#include "routing/server_instance.hpp"
 
 namespace reedramp::routing {
 
@@ -82,11 +82,11 @@
     auto spoil(const common::server_id& id) -> table_event;
 
     /// This start leaves.
-    auto retire(const server_start& start, time_point now = {}) -> void;
+    auto retire(const server_instance& start, time_point now = {}) -> void;
 
     /// Takes out the servers whose registrations have ended; gives them. `read_to` as in
-    /// `told_end`.
-    auto end_lapsed(std::uint64_t read_to, time_point now) -> std::vector<server_start>;
+    /// `ended_report`.
+    auto end_lapsed(std::uint64_t read_to, time_point now) -> std::vector<server_instance>;
 
     /// These data centres get no work.
     auto close(const std::set<common::data_centre_id>& evacuated) -> void;
@@ -96,7 +96,7 @@
     auto doubt_warmth(const common::data_centre_id& data_centre, time_point until) -> void;
 
     /// Another server answers at its address.
-    auto drop(const server_start& start, time_point now = {}) -> void;
+    auto drop(const server_instance& start, time_point now = {}) -> void;
 
     /// Forgets servers that left long ago, and what peers need not be told any more.
     auto forget_left(time_point now) -> void;
@@ -112,24 +112,25 @@
 
     /// A peer has read that these leave. Gives those that had work until now.
     auto retire_named(const std::vector<std::uint64_t>& hashes, time_point now = {})
-        -> std::vector<server_start>;
+        -> std::vector<server_instance>;
 
     /// Registrations that ended in the last seconds, for the peers.
-    [[nodiscard]] auto ended(time_point now) const -> std::vector<told_end>
+    [[nodiscard]] auto ended(time_point now) const -> std::vector<ended_report>
     {
         return this->gone.ended(now);
     }
 
     /// Whether this start ended in the last minutes, as far as this entry knows.
-    [[nodiscard]] auto has_ended(const server_start& start) const -> bool
+    [[nodiscard]] auto has_ended(const server_instance& start) const -> bool
     {
         return this->gone.has_ended(start);
     }
 
     /// A peer has read that these registrations ended. Those that this entry, which has read the
     /// list up to `read_to`, cannot know of yet are taken out; gives them. They may return.
-    auto end_named(const std::vector<told_end>& ends, std::uint64_t read_to, time_point now = {})
-        -> std::vector<server_start>;
+    auto
+    end_named(const std::vector<ended_report>& ends, std::uint64_t read_to, time_point now = {})
+        -> std::vector<server_instance>;
 
     /// All that may get work.
     [[nodiscard]] auto ids() const -> std::vector<common::server_id>;
@@ -149,7 +150,7 @@
     [[nodiscard]] auto find(const common::server_id& id) const -> const registration*;
 
     /// The start with this hash, if it may get work; looks at all.
-    [[nodiscard]] auto find_named(std::uint64_t hash) const -> std::optional<server_start>;
+    [[nodiscard]] auto find_named(std::uint64_t hash) const -> std::optional<server_instance>;
 
     [[nodiscard]] auto state_of(const common::server_id& id) const -> std::optional<server_state>;
 
@@ -201,7 +202,7 @@
     std::set<common::data_centre_id> closed;
     /// What `usable` has found; each request asks.
     mutable std::map<common::service_name, std::vector<const registration*>> usable_by_service;
-    departures gone;
+    departure_tracker gone;
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/session_book.cpp
+++ b/source/core/routing/session_table.cpp
@@ -1,10 +1,10 @@
-#include "routing/session_book.hpp"
+#include "routing/session_table.hpp"
 
 #include <algorithm>
 
 namespace reedramp::routing {
 
-auto session_book::note_sent(
+auto session_table::note_sent(
     const common::service_name& service,
     std::uint64_t session,
     const common::version_id& version,
@@ -16,7 +16,7 @@
     this->sweep(now);
 }
 
-auto session_book::note_ended(
+auto session_table::note_ended(
     const common::service_name& service, std::uint64_t session, time_point now) -> void
 {
     const auto found = this->sessions.find({service, session});
@@ -29,7 +29,7 @@
     use.until = now + this->time;
 }
 
-auto session_book::version_of(
+auto session_table::version_of(
     const common::service_name& service, std::uint64_t session, time_point now) const
     -> std::optional<common::version_id>
 {
@@ -40,14 +40,14 @@
     return found->second.version;
 }
 
-auto session_book::on_other_versions(
+auto session_table::on_other_versions(
     const common::service_name& service,
     const common::version_id& target,
     const std::function<auto(std::uint64_t session)->bool>& is_meant,
     std::size_t most,
-    time_point now) const -> std::vector<told_session>
+    time_point now) const -> std::vector<session_report>
 {
-    std::vector<told_session> told;
+    std::vector<session_report> told;
     const auto first = this->sessions.lower_bound({service, 0});
     for (auto item = first; item != this->sessions.end() && told.size() < most; ++item) {
         const auto& [key, use] = *item;
@@ -63,7 +63,7 @@
     return told;
 }
 
-auto session_book::count_on_other_versions(
+auto session_table::count_on_other_versions(
     const common::service_name& service, const common::version_id& target, time_point now) const
     -> std::size_t
 {
@@ -74,8 +74,8 @@
     return static_cast<std::size_t>(std::ranges::count_if(this->sessions, lasts_elsewhere));
 }
 
-auto session_book::hear(
-    const common::service_name& service, const std::vector<told_session>& told, time_point now)
+auto session_table::hear(
+    const common::service_name& service, const std::vector<session_report>& told, time_point now)
     -> void
 {
     for (const auto& one : told) {
@@ -84,14 +84,14 @@
     }
 }
 
-auto session_book::is_old_elsewhere(
+auto session_table::is_old_elsewhere(
     const common::service_name& service, std::uint64_t session, time_point now) const -> bool
 {
     const auto found = this->elsewhere.find({service, session});
     return found != this->elsewhere.end() && found->second > now;
 }
 
-auto session_book::sweep(time_point now) -> void
+auto session_table::sweep(time_point now) -> void
 {
     if (now < this->swept + this->time) {
         return;
--- a/source/core/routing/session_book.hpp
+++ b/source/core/routing/session_table.hpp
@@ -17,7 +17,7 @@
 using common::time_point;
 
 /// A session that one entry keeps on an old version, as it tells its peers.
-struct told_session {
+struct session_report {
     /// Hash of the session's name.
     std::uint64_t session = 0;
     /// How long the session still belongs to that version if nothing more comes of it.
@@ -31,10 +31,10 @@
 /// just served on the old version for a new one, and move it in the middle of a talk. So while a
 /// roll-out may not move sessions, entries tell each other which of those that its share would move
 /// are on an old version.
-class session_book {
+class session_table {
 public:
     /// Requests of a session belong together when one comes within `session_time` of another's end.
-    explicit session_book(common::duration session_time) : time(session_time) {}
+    explicit session_table(common::duration session_time) : time(session_time) {}
 
     auto note_sent(
         const common::service_name& service,
@@ -58,7 +58,7 @@
         const common::version_id& target,
         const std::function<auto(std::uint64_t session)->bool>& is_meant,
         std::size_t most,
-        time_point now) const -> std::vector<told_session>;
+        time_point now) const -> std::vector<session_report>;
 
     /// How many sessions of the service last on other versions than `target`.
     [[nodiscard]] auto count_on_other_versions(
@@ -66,9 +66,10 @@
         -> std::size_t;
 
     /// A peer keeps these sessions on an old version.
-    auto
-    hear(const common::service_name& service, const std::vector<told_session>& told, time_point now)
-        -> void;
+    auto hear(
+        const common::service_name& service,
+        const std::vector<session_report>& told,
+        time_point now) -> void;
 
     /// Whether a peer keeps the session on an old version.
     [[nodiscard]] auto is_old_elsewhere(
--- a/source/core/routing/version_evidence.cpp
+++ b/source/core/routing/version_evidence.cpp
@@ -113,8 +113,8 @@
     return sum;
 }
 
-auto version_evidence::hear(const common::host_id& peer, std::map<route_name, told_evidence> words)
-    -> void
+auto version_evidence::hear(
+    const common::host_id& peer, std::map<route_name, evidence_report> words) -> void
 {
     this->known_against.reset();
     auto& known = this->peers[peer];
@@ -140,11 +140,11 @@
     }
 }
 
-auto version_evidence::tell() const -> std::map<route_name, told_evidence>
+auto version_evidence::tell() const -> std::map<route_name, evidence_report>
 {
-    std::map<route_name, told_evidence> all;
+    std::map<route_name, evidence_report> all;
     for (const auto& [route, one] : this->routes) {
-        told_evidence told;
+        evidence_report told;
         told.bets = one.bets.log_wealth();
         for (std::size_t i = 0; i < policy::signal_count; ++i) {
             told.old_means[i] = one.bets.old_mean(static_cast<policy::signal>(i));
--- a/source/core/routing/version_evidence.hpp
+++ b/source/core/routing/version_evidence.hpp
@@ -74,13 +74,13 @@
 };
 
 /// What one process has seen of one route, for its peers.
-struct told_evidence {
+struct evidence_report {
     policy::wealth bets;
     /// The old version's means by signal, and the logarithms of its usual times in ms.
     std::array<policy::known_mean, policy::signal_count> old_means{};
     std::array<policy::known_mean, timed_part_count> usual_times{};
 
-    auto operator==(const told_evidence&) const -> bool = default;
+    auto operator==(const evidence_report&) const -> bool = default;
 };
 
 /// Whether a new version is worse than the old one, by route and over all, from what all entries
@@ -110,9 +110,9 @@
         time_bound bound = time_bound::seen) -> void;
 
     /// A peer's words replace its older ones.
-    auto hear(const common::host_id& peer, std::map<route_name, told_evidence> words) -> void;
+    auto hear(const common::host_id& peer, std::map<route_name, evidence_report> words) -> void;
 
-    [[nodiscard]] auto tell() const -> std::map<route_name, told_evidence>;
+    [[nodiscard]] auto tell() const -> std::map<route_name, evidence_report>;
 
     /// Logarithms of the wealth against the new version.
     struct sums {
@@ -145,7 +145,7 @@
 
     evidence_options settings;
     std::map<route_name, route_evidence> routes;
-    std::map<common::host_id, std::map<route_name, told_evidence>> peers;
+    std::map<common::host_id, std::map<route_name, evidence_report>> peers;
     /// `log_against` since the last change: each request asks for it.
     mutable std::optional<sums> known_against;
 };
--- a/source/router/peer_group.cpp
+++ b/source/router/peer_group.cpp
@@ -51,7 +51,7 @@
 /// What a process has seen of a new version stays true when it ends. Under its host's name alone,
 /// the next process' empty words took the place of it: after a restart of all entries in turn
 /// nothing was known against a bad version, and all callers were moved to it.
-auto process_name(const router::peer_words& words) -> common::host_id
+auto process_name(const router::peer_report& words) -> common::host_id
 {
     return common::host_id{words.host.value() + "#" + std::to_string(words.process)};
 }
@@ -67,10 +67,11 @@
     newer_rules_hook newer_rules,
     newer_list_hook newer_list)
     : core(std::move(core_to_tell_of)), self(std::move(own_host)),
-      place(router::place_of(this->core->options.data_centre)), process(this->core->hooks.random()),
-      own_address(std::move(address)), send(std::move(send_datagram)),
-      on_newer_rules(std::move(newer_rules)), on_newer_list(std::move(newer_list)),
-      started(this->core->hooks.clock()), spread(this->newest_news()), period(tell_period)
+      place(router::data_centre_hash(this->core->options.data_centre)),
+      process(this->core->hooks.random()), own_address(std::move(address)),
+      send(std::move(send_datagram)), on_newer_rules(std::move(newer_rules)),
+      on_newer_list(std::move(newer_list)), started(this->core->hooks.clock()),
+      spread(this->newest_news()), period(tell_period)
 {
 }
 
@@ -102,9 +103,9 @@
 }
 
 auto peer_group::own_words(common::time_point now, std::size_t most_named) const
-    -> router::peer_words
+    -> router::peer_report
 {
-    router::peer_words words;
+    router::peer_report words;
     words.host = this->self;
     words.process = this->process;
     words.address = http::to_string(this->own_address);
@@ -265,12 +266,12 @@
     }
 }
 
-auto peer_group::note_news(const router::list_news& news, const http::endpoint& from) -> void
+auto peer_group::note_news(const router::list_update& news, const http::endpoint& from) -> void
 {
     auto& known = this->peers[from];
     known.heard = this->core->hooks.clock();
     known.host = news.host;
-    known.place = router::place_of(news.data_centre);
+    known.place = router::data_centre_hash(news.data_centre);
     if (news.rules_version > this->core->rules_version()) {
         this->on_newer_rules(from);
     }
@@ -305,9 +306,9 @@
     return all;
 }
 
-auto peer_group::audience() const -> router::news_audience
+auto peer_group::audience() const -> router::update_recipients
 {
-    router::news_audience to;
+    router::update_recipients to;
     const auto now = this->core->hooks.clock();
     for (const auto& [where, known] : this->peers) {
         // All that may live: a datagram to one that does not costs little, and one that is left out
@@ -332,7 +333,7 @@
     return to;
 }
 
-auto peer_group::turn() const -> router::reader_turn
+auto peer_group::turn() const -> router::reader_rank
 {
     const auto all = this->by_data_centre();
     const auto& near = all.at(this->place);
@@ -367,9 +368,9 @@
     return names;
 }
 
-auto peer_group::hear_of_servers(const router::peer_words& words, common::time_point now) -> void
+auto peer_group::hear_of_servers(const router::peer_report& words, common::time_point now) -> void
 {
-    const auto log = [&words](const char* what, const routing::server_start& server) {
+    const auto log = [&words](const char* what, const routing::server_instance& server) {
         common::log(
             common::log_part::members,
             common::log_level::info,
@@ -440,7 +441,7 @@
     return first_end == common::never ? now : first_end + restart_time;
 }
 
-auto peer_group::place_among_all() const -> routing::entry_place
+auto peer_group::place_among_all() const -> routing::entry_rank
 {
     const auto before =
         std::distance(this->peers.begin(), this->peers.lower_bound(this->own_address));
--- a/source/router/peer_group.hpp
+++ b/source/router/peer_group.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "router/list_courier.hpp"
+#include "router/list_broadcaster.hpp"
 #include "router/peer_message.hpp"
 #include "router/router_core.hpp"
 #include "router/servers_follower.hpp"
@@ -74,18 +74,18 @@
 
     /// This entry's place, by address, among those that it knows of, also where they have just
     /// fallen silent. An entry that is cut off is not alone.
-    [[nodiscard]] auto place_among_all() const -> routing::entry_place;
+    [[nodiscard]] auto place_among_all() const -> routing::entry_rank;
 
     /// News of the servers' list came from a peer: it lives.
-    auto note_news(const router::list_news& news, const http::endpoint& from) -> void;
+    auto note_news(const router::list_update& news, const http::endpoint& from) -> void;
 
     /// Whom to hand news of the servers' list on to.
-    [[nodiscard]] auto audience() const -> router::news_audience;
+    [[nodiscard]] auto audience() const -> router::update_recipients;
 
     /// This entry's place among those that read the store. The first of each data centre go first,
     /// then the second ones; two of each read for the others. By what each entry hears itself: two
     /// that both take themselves for the first cost a few calls, and no news.
-    [[nodiscard]] auto turn() const -> router::reader_turn;
+    [[nodiscard]] auto turn() const -> router::reader_rank;
 
     /// Whether this entry follows the operators' stream for the others. So does one that has to
     /// read the servers' list, since nobody else does: where the store turns away all that read for
@@ -125,9 +125,9 @@
     /// A peer that has been silent for this long is not counted among the living.
     [[nodiscard]] auto silence() const -> common::duration;
     /// Takes out the servers that the sender has seen leave or end.
-    auto hear_of_servers(const router::peer_words& words, common::time_point now) -> void;
+    auto hear_of_servers(const router::peer_report& words, common::time_point now) -> void;
     [[nodiscard]] auto own_words(common::time_point now, std::size_t most_named) const
-        -> router::peer_words;
+        -> router::peer_report;
 
     struct peer {
         common::time_point heard{};
--- a/source/router/process_neighbours.cpp
+++ b/source/router/process_neighbours.cpp
@@ -151,7 +151,7 @@
 auto router_process::parts_of_process::open_list() -> void
 {
     this->list = std::make_shared<router::servers_list>(this->core, this->settings.follower);
-    router::courier_hooks hooks;
+    router::list_broadcaster_hooks hooks;
     hooks.send = [this](const http::endpoint& to, const std::string& bytes) {
         this->send_datagram(to, bytes);
     };
@@ -161,10 +161,10 @@
     hooks.audience = [this] {
         return this->peers->audience();
     };
-    hooks.on_heard = [this](const router::list_news& news, const http::endpoint& where) {
+    hooks.on_heard = [this](const router::list_update& news, const http::endpoint& where) {
         this->peers->note_news(news, where);
     };
-    this->courier = std::make_shared<router::list_courier>(
+    this->courier = std::make_shared<router::list_broadcaster>(
         this->core, this->list, this->settings.host, this->own_address(), std::move(hooks));
 }
 
--- a/source/router/process_parts.hpp
+++ b/source/router/process_parts.hpp
@@ -17,8 +17,8 @@
 #include "http/server.hpp"
 #include "peer_group.hpp"
 #include "router/barred_records.hpp"
-#include "router/crash_courier.hpp"
-#include "router/list_courier.hpp"
+#include "router/crash_broadcaster.hpp"
+#include "router/list_broadcaster.hpp"
 #include "router/rollout_writer.hpp"
 #include "router/servers_follower.hpp"
 #include "router_process.hpp"
@@ -107,8 +107,8 @@
     router::shared_store store;
     std::unique_ptr<peer_group> peers;
     std::shared_ptr<router::servers_list> list;
-    std::shared_ptr<router::list_courier> courier;
-    std::shared_ptr<router::crash_courier> crashes;
+    std::shared_ptr<router::list_broadcaster> courier;
+    std::shared_ptr<router::crash_broadcaster> crashes;
     std::shared_ptr<router::rules_follower> rules;
     std::shared_ptr<router::servers_follower> servers;
     std::shared_ptr<router::rollout_writer> rollouts;
--- a/source/router/router_process.cpp
+++ b/source/router/router_process.cpp
@@ -261,7 +261,7 @@
 
 auto router_process::parts_of_process::open_crashes() -> void
 {
-    router::crash_courier_hooks hooks;
+    router::crash_broadcaster_hooks hooks;
     hooks.send = [this](const http::endpoint& to, const std::string& bytes) {
         this->send_datagram(to, bytes);
     };
@@ -273,8 +273,8 @@
             http::check_connection(this->context, *where, server_connect_time, std::move(done));
         }
     };
-    this->crashes =
-        std::make_shared<router::crash_courier>(this->core, this->settings.host, std::move(hooks));
+    this->crashes = std::make_shared<router::crash_broadcaster>(
+        this->core, this->settings.host, std::move(hooks));
 }
 
 auto router_process::parts_of_process::receive() -> void
@@ -285,10 +285,10 @@
                 return;
             }
             const std::string_view bytes{this->datagram.data(), problem ? 0 : size};
-            if (router::is_list_news(bytes)) {
+            if (router::is_list_update(bytes)) {
                 this->courier->hear(bytes);
             }
-            else if (router::is_crash_news(bytes)) {
+            else if (router::is_crash_update(bytes)) {
                 this->crashes->hear(bytes);
             }
             else if (!problem) {
--- a/source/router/state_page.cpp
+++ b/source/router/state_page.cpp
@@ -50,7 +50,7 @@
 auto list_row(
     const router::router_core& core,
     const peer_group& peers,
-    const router::list_courier& courier,
+    const router::list_broadcaster& courier,
     common::time_point now) -> json::object
 {
     json::array readers;
@@ -72,7 +72,7 @@
 auto state_page(
     const router::router_core& core,
     const peer_group& peers,
-    const router::list_courier& courier,
+    const router::list_broadcaster& courier,
     const common::host_id& host) -> std::string
 {
     const auto now = core.hooks.clock();
--- a/source/router/state_page.hpp
+++ b/source/router/state_page.hpp
@@ -12,7 +12,7 @@
 auto state_page(
     const router::router_core& core,
     const peer_group& peers,
-    const router::list_courier& courier,
+    const router::list_broadcaster& courier,
     const common::host_id& host) -> std::string;
 
 } // namespace reedramp::router_program
--- a/source/unit_tests/policy/chooser_test.cpp
+++ b/source/unit_tests/policy/chooser_test.cpp
@@ -96,7 +96,7 @@
 
 TEST_CASE("estimates tighten with ratings and notice drift")
 {
-    quality_book book{quality_options{}};
+    quality_tracker book{quality_options{}};
     const common::task_name task("tagging");
     book.set_prior(key("small"), task, 0.9);
     CHECK(book.estimate(key("small"), task).mean == Approx(0.9));
--- a/source/unit_tests/router/barred_records_test.cpp
+++ b/source/unit_tests/router/barred_records_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr routing::request_print ending{7};
+constexpr routing::request_fingerprint ending{7};
 constexpr std::uint64_t today = 1'790'000'000'000;
 
 /// An entry with a place among others, and the store's records, which the test plays.
@@ -27,7 +27,7 @@
                 done(stream_position{1});
             }
         };
-        store.drop_barred = [this](routing::request_print print, auto done) {
+        store.drop_barred = [this](routing::request_fingerprint print, auto done) {
             this->dropped.push_back(print);
             done(stream_position{1});
         };
@@ -51,7 +51,7 @@
 
     world one;
     std::vector<barred_record> written;
-    std::vector<routing::request_print> dropped;
+    std::vector<routing::request_fingerprint> dropped;
     bool is_down = false;
     std::shared_ptr<barred_records> records;
 };
@@ -103,7 +103,7 @@
     keeper first{0};
     keeper second{1};
     const barred_record fresh{ending, today - 60'000};
-    const barred_record old{routing::request_print{8}, today - 3'600'000};
+    const barred_record old{routing::request_fingerprint{8}, today - 3'600'000};
     for (auto* each : {&first, &second}) {
         each->records->take({fresh, old});
         CHECK(each->one.core->crashes.is_barred(ending));
@@ -113,7 +113,7 @@
     CHECK(second.dropped.empty());
     // A copy that was under way is served: the request is let in, also when the record is read
     // again.
-    const routing::server_start server{common::server_id{"a"}};
+    const routing::server_instance server{common::server_id{"a"}};
     first.one.core->crashes.note_served(ending, server, first.one.now);
     first.records->take({fresh});
     CHECK(!first.one.core->crashes.is_barred(ending));
--- a/source/unit_tests/router/cold_test.cpp
+++ b/source/unit_tests/router/cold_test.cpp
@@ -23,9 +23,9 @@
         auto rules = rules_of(2);
         rules.rules.services.front().cold_per_second = cold_rate;
         this->core->adopt(std::move(rules));
-        this->core->intake = routing::intake_book{routing::intake_options{}, {[entries] {
-                                                      return routing::entry_place{0, entries};
-                                                  }}};
+        this->core->intake = routing::server_limiter{routing::server_limiter_options{}, {[entries] {
+                                                         return routing::entry_rank{0, entries};
+                                                     }}};
         for (const auto* id : {"a", "b", "c"}) {
             this->set_cold(id, cold_time);
         }
--- a/source/unit_tests/router/entry_fleet.cpp
+++ b/source/unit_tests/router/entry_fleet.cpp
@@ -69,7 +69,7 @@
         });
     this->take_turns(one);
     one.list = std::make_shared<servers_list>(one.own.core, follower_options{});
-    courier_hooks hooks;
+    list_broadcaster_hooks hooks;
     hooks.send = [this, number](const http::endpoint& to, const std::string& bytes) {
         this->send(number, to, bytes);
     };
@@ -79,15 +79,15 @@
     hooks.audience = [&one] {
         return one.peers->audience();
     };
-    hooks.on_heard = [&one](const list_news& news, const http::endpoint& from) {
+    hooks.on_heard = [&one](const list_update& news, const http::endpoint& from) {
         one.peers->note_news(news, from);
     };
-    one.courier =
-        std::make_shared<list_courier>(one.own.core, one.list, host, one.where, std::move(hooks));
-    one.crashes = std::make_shared<crash_courier>(
+    one.courier = std::make_shared<list_broadcaster>(
+        one.own.core, one.list, host, one.where, std::move(hooks));
+    one.crashes = std::make_shared<crash_broadcaster>(
         one.own.core,
         host,
-        crash_courier_hooks{
+        crash_broadcaster_hooks{
             .send =
                 [this, number](const http::endpoint& to, const std::string& bytes) {
                     this->send(number, to, bytes);
@@ -115,7 +115,7 @@
                                            one.courier->publish(read);
                                        }}
                              : servers_follower_hooks{.turn = [&one] {
-                                   return reader_turn{one.peers->rank(), true};
+                                   return reader_rank{one.peers->rank(), true};
                                }});
 }
 
@@ -124,7 +124,7 @@
     // Hosts' times of day differ by so much at the most.
     constexpr std::uint64_t clocks_differ_ms = 100;
     const auto ahead = milliseconds{this->random() % clocks_differ_ms};
-    routing::turn_hooks hooks;
+    routing::send_slot_hooks hooks;
     hooks.place = [&one] {
         return one.peers->place_among_all();
     };
@@ -132,7 +132,7 @@
         const auto time = one.own.now.time_since_epoch() + ahead;
         return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(time).count());
     };
-    one.own.core->intake = routing::intake_book{one.own.core->options.intake, std::move(hooks)};
+    one.own.core->intake = routing::server_limiter{one.own.core->options.intake, std::move(hooks)};
 }
 
 auto entry_fleet::make_rules(entry& one) -> void
@@ -162,7 +162,7 @@
     }
     stream_reading<rules_document> reading{{}, end, is_first};
     if (is_first) {
-        routing::evacuation_book newest;
+        routing::evacuation_registry newest;
         newest.follow(this->orders, end);
         for (const auto& data_centre : newest.evacuated()) {
             reading.documents.emplace_back(routing::evacuation_order{data_centre, true, {}});
@@ -393,10 +393,10 @@
 auto entry_fleet::deliver(std::size_t to, const std::string& bytes) -> void
 {
     auto& one = *this->entries[to];
-    if (is_list_news(bytes)) {
+    if (is_list_update(bytes)) {
         one.courier->hear(bytes);
     }
-    else if (is_crash_news(bytes)) {
+    else if (is_crash_update(bytes)) {
         one.crashes->hear(bytes);
     }
     else {
--- a/source/unit_tests/router/entry_fleet.hpp
+++ b/source/unit_tests/router/entry_fleet.hpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "peer_group.hpp"
-#include "router/crash_courier.hpp"
-#include "router/list_courier.hpp"
+#include "router/crash_broadcaster.hpp"
+#include "router/list_broadcaster.hpp"
 #include "router/servers_follower.hpp"
 #include "world.hpp"
 
@@ -40,8 +40,8 @@
         world own;
         std::unique_ptr<router_program::peer_group> peers;
         std::shared_ptr<servers_list> list;
-        std::shared_ptr<list_courier> courier;
-        std::shared_ptr<crash_courier> crashes;
+        std::shared_ptr<list_broadcaster> courier;
+        std::shared_ptr<crash_broadcaster> crashes;
         std::shared_ptr<servers_follower> follower;
         std::shared_ptr<rules_follower> rules;
         http::endpoint where;
--- a/source/unit_tests/router/evacuation_test.cpp
+++ b/source/unit_tests/router/evacuation_test.cpp
@@ -26,7 +26,7 @@
 
 auto evacuate(world& all, std::vector<std::string> data_centres, std::uint64_t known_to) -> void
 {
-    routing::told_evacuations known{stream_position::at(0, known_to), {}};
+    routing::evacuation_report known{stream_position::at(0, known_to), {}};
     for (auto& name : data_centres) {
         known.evacuated.emplace_back(std::move(name));
     }
--- a/source/unit_tests/router/hand_on_test.cpp
+++ b/source/unit_tests/router/hand_on_test.cpp
@@ -18,10 +18,10 @@
 /// second until the next reading; the rest is for its news, and for what is lost of them.
 constexpr milliseconds usual_time{1500};
 
-auto news_from(const entry_fleet& fleet, std::size_t sender) -> list_news
+auto news_from(const entry_fleet& fleet, std::size_t sender) -> list_update
 {
     const auto& one = *fleet.entries[sender];
-    list_news news;
+    list_update news;
     news.host = common::host_id{"host-" + std::to_string(1000 + sender)};
     news.address = http::to_string(one.where);
     news.data_centre = one.own.core->options.data_centre;
@@ -209,7 +209,7 @@
     fleet.remove("x");
     fleet.run(milliseconds{1300});
     auto letters = fleet.sent;
-    std::erase_if(letters, [](const auto& one) { return !is_list_news(one.second); });
+    std::erase_if(letters, [](const auto& one) { return !is_list_update(one.second); });
     REQUIRE(letters.size() >= 6);
     const auto known_to = fleet.entries[3]->list->known_to();
     std::mt19937_64 random{7};
@@ -233,7 +233,7 @@
     fleet.run(seconds{3});
     std::size_t largest = 0;
     for (const auto& [to, bytes] : fleet.sent) {
-        largest = std::max(largest, is_list_news(bytes) ? bytes.size() : 0);
+        largest = std::max(largest, is_list_update(bytes) ? bytes.size() : 0);
     }
     INFO(largest << " bytes");
     CHECK(largest > 0);
@@ -251,7 +251,7 @@
     const auto bytes = encode_datagram(good);
     for (std::size_t size = 0; size < bytes.size(); ++size) {
         const auto cut = bytes.substr(0, size);
-        if (is_list_news(cut)) {
+        if (is_list_update(cut)) {
             one.courier->hear(cut);
         }
     }
@@ -344,7 +344,7 @@
 
 TEST_CASE("size of the whole list, as a neighbour gives it", "[.bench]")
 {
-    list_news news;
+    list_update news;
     for (int i = 0; i < 620; ++i) {
         auto change = leaving_change("i-7f3a91c" + std::to_string(i));
         change.now->address = "10.3.64." + std::to_string(i % 250) + ":8266";
--- a/source/unit_tests/router/peer_message_test.cpp
+++ b/source/unit_tests/router/peer_message_test.cpp
@@ -1,4 +1,4 @@
-#include "router/crash_news.hpp"
+#include "router/crash_update.hpp"
 #include "router/peer_message.hpp"
 
 #include <iostream>
@@ -10,14 +10,14 @@
 
 namespace {
 
-auto full_message() -> peer_words
+auto full_message() -> peer_report
 {
-    peer_words words;
+    peer_report words;
     words.host = common::host_id{"host-a"};
     words.address = "10.0.0.1:7000";
     words.rules_version = 12;
     words.loads = {{7, {2.0, 300.0, 120.0}}, {9, {1.0, 50.0, 0.0}}};
-    routing::told_rollout rollout;
+    routing::rollout_report rollout;
     rollout.service = common::service_name{"engines"};
     rollout.target = common::version_id{"v2"};
     rollout.allowed = std::chrono::seconds{20};
@@ -128,18 +128,20 @@
 
 TEST_CASE("news of crashes are read as they were told, in pieces of a datagram", "[crash_news]")
 {
-    crash_news news;
+    crash_update news;
     news.host = common::host_id{"host-a"};
     for (std::uint64_t i = 1; i <= 100; ++i) {
         const std::chrono::milliseconds age{i};
-        news.lost.push_back({routing::request_print{i}, i * 3, age, age * 2});
+        news.lost.push_back({routing::request_fingerprint{i}, i * 3, age, age * 2});
     }
-    news.served.push_back({routing::request_print{7}, std::chrono::milliseconds{70}});
+    news.served.push_back({routing::request_fingerprint{7}, std::chrono::milliseconds{70}});
     news.barred.push_back(
-        {routing::request_print{8}, std::chrono::milliseconds{80}, std::chrono::milliseconds{9}});
-    crash_news read;
+        {routing::request_fingerprint{8},
+         std::chrono::milliseconds{80},
+         std::chrono::milliseconds{9}});
+    crash_update read;
     for (const auto& bytes : encode_datagrams(news)) {
-        CHECK(is_crash_news(bytes));
+        CHECK(is_crash_update(bytes));
         CHECK(bytes.size() <= 1400);
         CHECK(!decode_peer_words(bytes));
         const auto part = decode_crash_news(bytes);
@@ -151,7 +153,7 @@
         CHECK(!decode_crash_news(bytes.substr(0, bytes.size() / 2)));
     }
     REQUIRE(read.lost.size() == 100);
-    CHECK(read.lost.back().print == routing::request_print{100});
+    CHECK(read.lost.back().print == routing::request_fingerprint{100});
     CHECK(read.lost.back().server == 300);
     CHECK(read.lost.back().age == std::chrono::milliseconds{100});
     CHECK(read.lost.back().sent_age == std::chrono::milliseconds{200});
@@ -167,7 +169,7 @@
 {
     // All of a service's servers are replaced within seconds. What is told of that must not grow
     // with their number: it is told forty times a second.
-    peer_words calm;
+    peer_report calm;
     calm.host = common::host_id{"host-with-a-name"};
     calm.address = "10.0.0.1:7000";
     for (int i = 0; i < 8; ++i) {
--- a/source/unit_tests/router/server_words_test.cpp
+++ b/source/unit_tests/router/server_directives_test.cpp
@@ -3,13 +3,13 @@
 
 #include <catch2/catch.hpp>
 
-#include "router/server_words.hpp"
+#include "router/server_directives.hpp"
 
 namespace reedramp::router::testing {
 
 namespace {
 
-auto words_of(std::vector<std::string> limits) -> server_words
+auto words_of(std::vector<std::string> limits) -> server_directives
 {
     http::response head;
     for (auto& one : limits) {
--- a/source/unit_tests/router/stated_limits_test.cpp
+++ b/source/unit_tests/router/stated_limits_test.cpp
@@ -110,11 +110,11 @@
     for (const std::size_t entries : {4, 27, 103, 390}) {
         entry_fleet fleet{{.entries = entries, .loss = 0.02}};
         fleet.run(contact);
-        const routing::server_start server{common::server_id{"a"}};
+        const routing::server_instance server{common::server_id{"a"}};
         const auto knows = [&server](const auto& one) {
             return one->own.core->intake.limits().per_second(server).has_value();
         };
-        server_words said;
+        server_directives said;
         said.limit = 2.0;
         fleet.entries.front()->own.core->hear_limit(server, said, "attempt");
         const auto read = fleet.now;
--- a/source/unit_tests/routing/choice_test.cpp
+++ b/source/unit_tests/routing/choice_test.cpp
@@ -137,9 +137,9 @@
 TEST_CASE("a server that rests, has left or is new shows in the next choice", "[server_choice]")
 {
     server_table table;
-    load_book loads;
+    load_tracker loads;
     server_health health{health_options{}};
-    const pace_book paces;
+    const server_speed_tracker paces;
     const common::service_name engines{"engines"};
     const auto name = [](int number) {
         return common::server_id{"s" + std::to_string(number)};
@@ -179,13 +179,13 @@
     constexpr int servers = 620;
     constexpr int entries = 390;
     server_table table;
-    load_book loads;
+    load_tracker loads;
     const server_health health{health_options{}};
-    const pace_book paces;
-    const intake_book intake{intake_options{}, turn_hooks{}};
+    const server_speed_tracker paces;
+    const server_limiter intake{server_limiter_options{}, send_slot_hooks{}};
     const common::service_name engines{"engines"};
     const time_point now{seconds{100}};
-    std::vector<told_load> words;
+    std::vector<load_report> words;
     for (int i = 0; i < servers; ++i) {
         registration server;
         server.id = common::server_id{"server-" + std::to_string(i)};
--- a/source/unit_tests/routing/choice_world.cpp
+++ b/source/unit_tests/routing/choice_world.cpp
@@ -16,7 +16,7 @@
 const common::service_name engines{"engines"};
 const time_point start{std::chrono::seconds{100}};
 const server_health healthy{health_options{}};
-const pace_book alike;
+const server_speed_tracker alike;
 
 /// A request under way, by the moment of its end.
 struct running {
@@ -38,12 +38,12 @@
             this->add_server(i, {});
         }
         this->free_at.resize(this->shape.servers, start);
-        intake_options options_of_intake;
+        server_limiter_options options_of_intake;
         options_of_intake.cold_excess = cold_excess;
         options_of_intake.cold_slack = cold_slack;
         for (std::size_t i = 0; i < this->shape.entries; ++i) {
-            this->intakes.emplace_back(options_of_intake, turn_hooks{[this, i] {
-                                           return entry_place{i, this->shape.entries};
+            this->intakes.emplace_back(options_of_intake, send_slot_hooks{[this, i] {
+                                           return entry_rank{i, this->shape.entries};
                                        }});
         }
         for (std::size_t i = 0; i < this->books.size(); ++i) {
@@ -110,7 +110,7 @@
         return std::uniform_real_distribution<double>{}(this->random);
     }
 
-    auto book_of(std::size_t entry) -> load_book&
+    auto book_of(std::size_t entry) -> load_tracker&
     {
         return this->books[entry % this->books.size()];
     }
@@ -259,17 +259,17 @@
     choice_options options;
     std::mt19937_64 random;
     server_table table;
-    std::vector<load_book> books;
+    std::vector<load_tracker> books;
     std::vector<common::host_id> hosts;
     std::vector<time_point> free_at;
-    std::vector<server_start> starts;
+    std::vector<server_instance> starts;
     std::map<const registration*, std::size_t> numbers;
     std::priority_queue<running, std::vector<running>, std::greater<>> under_way;
     std::size_t ticks = 0;
     std::vector<double> found_before;
     std::map<std::size_t, std::size_t> hot_sends;
     std::map<std::uint64_t, std::size_t> holder;
-    std::vector<intake_book> intakes;
+    std::vector<server_limiter> intakes;
     time_point came_back = common::never;
     /// By server that came back, and over all.
     std::map<std::size_t, std::vector<time_point>> sends_back;
--- a/source/unit_tests/routing/crash_book_test.cpp
+++ b/source/unit_tests/routing/crash_tracker_test.cpp
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "routing/crash_book.hpp"
+#include "routing/crash_tracker.hpp"
 
 namespace reedramp::routing {
 
@@ -12,29 +12,29 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr request_print ending{1};
+constexpr request_fingerprint ending{1};
 /// From a send until its server ends.
 constexpr milliseconds under_way{60};
 
 /// A book on the crashes that a test plays, a second after one another.
 struct played_book {
-    crash_book book{crash_options{}};
+    crash_tracker book{crash_options{}};
     time_point now{seconds{1000}};
     std::uint64_t next_harmless = 1000;
     int servers = 0;
 
     /// A server ends with these under way, and with two harmless ones that nobody meets again.
-    auto crash(const std::vector<request_print>& running) -> server_start
+    auto crash(const std::vector<request_fingerprint>& running) -> server_instance
     {
         this->servers += 1;
-        const server_start server{common::server_id{"s-" + std::to_string(this->servers)}};
+        const server_instance server{common::server_id{"s-" + std::to_string(this->servers)}};
         for (const auto print : running) {
             this->book.note_lost(print, server, this->now - under_way, this->now);
         }
         for (int i = 0; i < 2; ++i) {
             this->next_harmless += 1;
             this->book.note_lost(
-                request_print{this->next_harmless}, server, this->now - under_way, this->now);
+                request_fingerprint{this->next_harmless}, server, this->now - under_way, this->now);
         }
         this->now += seconds{1};
         return server;
@@ -71,7 +71,7 @@
 {
     // A harmless request is lost with three servers since it was sent on to each one that the other
     // one ended next.
-    const request_print harmless{2};
+    const request_fingerprint harmless{2};
     played_book played;
     for (int i = 0; i < 3; ++i) {
         played.crash({ending, harmless});
@@ -86,7 +86,7 @@
 TEST_CASE("a request that was served is no suspect, and is let in again", "[crash_book]")
 {
     played_book played;
-    const server_start sound{common::server_id{"sound"}};
+    const server_instance sound{common::server_id{"sound"}};
     played.crash({ending});
     played.crash({ending});
     played.book.note_served(ending, sound, played.now);
@@ -110,22 +110,22 @@
     // A server breaks off answers, or a network closes connections, and goes on serving others.
     played_book played;
     for (int i = 0; i < 8; ++i) {
-        const server_start server{common::server_id{"flaky-" + std::to_string(i)}};
+        const server_instance server{common::server_id{"flaky-" + std::to_string(i)}};
         played.book.note_lost(ending, server, played.now - under_way, played.now);
         played.now += seconds{1};
     }
     CHECK(played.judge() == 0);
     // It serves, so that what was lost in one moment was its connections.
-    const server_start alive{common::server_id{"alive"}};
+    const server_instance alive{common::server_id{"alive"}};
     for (int i = 0; i < 3; ++i) {
         const auto server = played.crash({ending});
-        played.book.note_served(request_print{7}, server, played.now);
+        played.book.note_served(request_fingerprint{7}, server, played.now);
     }
     CHECK(played.judge() == 0);
     // Nobody answers where it was lost.
     for (int i = 0; i < 3; ++i) {
         played.book.note_down(
-            server_start{common::server_id{"flaky-" + std::to_string(i)}}, played.now);
+            server_instance{common::server_id{"flaky-" + std::to_string(i)}}, played.now);
     }
     CHECK(played.judge() == 1);
 }
@@ -148,7 +148,7 @@
 
 TEST_CASE("many copies of a harmless request in one rack that fails do not bar it", "[crash_book]")
 {
-    const request_print common_one{3};
+    const request_fingerprint common_one{3};
     played_book played;
     for (int i = 0; i < 6; ++i) {
         played.crash({common_one});
@@ -176,7 +176,7 @@
 
 TEST_CASE("two requests that end servers are both found", "[crash_book]")
 {
-    const request_print second{4};
+    const request_fingerprint second{4};
     played_book played;
     for (int i = 0; i < 4; ++i) {
         played.crash({ending});
@@ -210,12 +210,12 @@
     played_book played;
     for (std::uint64_t i = 0; i < 5000; ++i) {
         played.book.hear_barred(
-            {request_print{i + 1}, milliseconds{0}, milliseconds{0}}, played.now);
+            {request_fingerprint{i + 1}, milliseconds{0}, milliseconds{0}}, played.now);
         played.now += milliseconds{20};
         played.judge();
     }
     CHECK(played.book.barred_count() <= 2048);
-    CHECK(played.book.is_barred(request_print{5000}));
+    CHECK(played.book.is_barred(request_fingerprint{5000}));
     CHECK(played.book.tell_barred(16, played.now).size() == 16);
 }
 
@@ -228,7 +228,7 @@
     CHECK(print_of(one) != print_of({"org", "POST", "h", "/talk/1", "another"}));
     // No two fields run into each other.
     CHECK(print_of(one) != print_of({"orgPOST", "", "h", "/talk/1", "question"}));
-    CHECK(to_string(request_print{0xab}) == "00000000000000ab");
+    CHECK(to_string(request_fingerprint{0xab}) == "00000000000000ab");
 }
 
 } // namespace reedramp::routing
--- a/source/unit_tests/routing/intake_test.cpp
+++ b/source/unit_tests/routing/intake_test.cpp
@@ -25,19 +25,19 @@
 using testing::cold_rate;
 using testing::most_in_a_second;
 
-auto options() -> intake_options
+auto options() -> server_limiter_options
 {
-    intake_options made;
+    server_limiter_options made;
     made.cold_excess = testing::cold_excess;
     made.cold_slack = testing::cold_slack;
     return made;
 }
 
 /// The book of one entry, of so many.
-auto book_of(std::size_t number, std::size_t of) -> intake_book
+auto book_of(std::size_t number, std::size_t of) -> server_limiter
 {
     return {options(), {[number, of] {
-                return entry_place{number, of};
+                return entry_rank{number, of};
             }}};
 }
 
@@ -59,7 +59,7 @@
     /// Entries' times of day differ by so much at the most.
     milliseconds clocks_differ{100};
     /// Of a server's limit, that entries aim at.
-    double limit_part = intake_options{}.limit_part;
+    double limit_part = server_limiter_options{}.limit_part;
 };
 
 struct crowd_result {
@@ -77,9 +77,9 @@
             const auto believed = shape.believed ? shape.believed(i) : shape.entries;
             const milliseconds ahead{
                 random() % static_cast<std::uint64_t>(shape.clocks_differ.count())};
-            turn_hooks hooks;
+            send_slot_hooks hooks;
             hooks.place = [i, believed] {
-                return entry_place{i % believed, believed};
+                return entry_rank{i % believed, believed};
             };
             hooks.unix_ms = [this, ahead] {
                 const auto time =
@@ -128,7 +128,7 @@
 
 private:
     time_point now;
-    std::vector<intake_book> entries;
+    std::vector<server_limiter> entries;
 };
 
 /// Every entry sends a request wherever it may, at each moment, while all servers are cold, as
@@ -345,8 +345,8 @@
     for (const auto& one : all) {
         usable.push_back(&one);
     }
-    load_book loads;
-    const pace_book paces;
+    load_tracker loads;
+    const server_speed_tracker paces;
     const server_health health{health_options{}};
     // Alone, an entry always has a turn somewhere.
     auto turns = book_of(0, 1);
@@ -355,7 +355,7 @@
     std::size_t to_warm = 0;
     constexpr std::size_t requests = 30;
     for (std::size_t i = 0; i < requests; ++i) {
-        const server_books books{loads, paces, health, &turns, cold_rate};
+        const server_trackers books{loads, paces, health, &turns, cold_rate};
         const auto* chosen = choose_server(usable, asked, books, {}, i, now);
         REQUIRE(chosen != nullptr);
         turns.note_sent(*chosen, cold_rate, now);
@@ -371,14 +371,14 @@
     const time_point now{seconds{700}};
     const std::vector<registration> all{
         cold_server("cold", now + seconds{3}), cold_server("warm", now)};
-    load_book loads;
+    load_tracker loads;
     loads.begin(all[1].start(), 100.0);
-    const pace_book paces;
+    const server_speed_tracker paces;
     const server_health health{health_options{}};
     const auto turns = book_of(0, 1);
     placement_request asked;
     asked.work = 1000.0;
-    const server_books books{loads, paces, health, &turns, 0.0};
+    const server_trackers books{loads, paces, health, &turns, 0.0};
     CHECK(choose_server({&all[0], &all[1]}, asked, books, {}, 1, now) == &all[0]);
 }
 
@@ -393,14 +393,14 @@
     for (const auto& one : all) {
         usable.push_back(&one);
     }
-    const load_book loads;
-    const pace_book paces;
+    const load_tracker loads;
+    const server_speed_tracker paces;
     const server_health health{health_options{}};
     auto turns = book_of(7, 390);
     for (const auto& one : all) {
         turns.note_sent(one, cold_rate, now);
     }
-    const server_books books{loads, paces, health, &turns, cold_rate};
+    const server_trackers books{loads, paces, health, &turns, cold_rate};
     CHECK(choose_server(usable, {}, books, {}, 1, now) == nullptr);
     all[7].cold_until = now;
     for (std::uint64_t chance = 0; chance < 50; ++chance) {
--- a/source/unit_tests/routing/loss_book_test.cpp
+++ b/source/unit_tests/routing/loss_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "routing/loss_book.hpp"
+#include "routing/loss_tracker.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
 const common::version_id new_version{"v2"};
 
 auto loss_of(version_side side, milliseconds after, unsigned fresh = 10, unsigned old = 10)
-    -> loss_book::loss
+    -> loss_tracker::loss
 {
     return {start + after, side, drafts, fresh, old};
 }
@@ -82,7 +82,7 @@
 
 TEST_CASE("losses are set off by what each version had under way", "[loss_book]")
 {
-    loss_book book;
+    loss_tracker book;
     for (int i = 0; i < 9; ++i) {
         book.note(loss_of(version_side::new_one, milliseconds{i * 10}, 30, 10));
     }
--- a/source/unit_tests/routing/server_limits_test.cpp
+++ b/source/unit_tests/routing/server_limits_test.cpp
@@ -10,7 +10,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-const server_start server{common::server_id{"s"}};
+const server_instance server{common::server_id{"s"}};
 constexpr time_point begin{seconds{1000}};
 
 } // namespace
@@ -77,7 +77,7 @@
     }
     const auto told = limits.tell(begin + seconds{1});
     REQUIRE(told.size() == 32);
-    CHECK(told.front().server == hash_of(server_start{common::server_id{"199"}}));
+    CHECK(told.front().server == hash_of(server_instance{common::server_id{"199"}}));
 }
 
 } // namespace reedramp::routing
--- a/source/unit_tests/routing/server_table_test.cpp
+++ b/source/unit_tests/routing/server_table_test.cpp
@@ -4,9 +4,9 @@
 
 #include <catch2/catch.hpp>
 
-#include "routing/load_book.hpp"
-#include "routing/pace_book.hpp"
+#include "routing/load_tracker.hpp"
 #include "routing/server_health.hpp"
+#include "routing/server_speed_tracker.hpp"
 
 namespace reedramp::routing {
 
@@ -33,7 +33,7 @@
     return read;
 }
 
-auto started(const common::server_id& id, std::uint64_t born) -> server_start
+auto started(const common::server_id& id, std::uint64_t born) -> server_instance
 {
     return {id, start_time{born}};
 }
@@ -77,8 +77,8 @@
     // It said that it leaves, failed often and was slow before it ended. Its next start has done
     // none of that, and is to get work at once.
     server_table table;
-    load_book loads;
-    pace_book paces;
+    load_tracker loads;
+    server_speed_tracker paces;
     server_health health{health_options{}};
     CHECK(table.take(registered(a, 10), start) == table_event::usable);
     const auto first = table.find(a)->start();
--- a/source/unit_tests/routing/servers_test.cpp
+++ b/source/unit_tests/routing/servers_test.cpp
@@ -27,8 +27,8 @@
 /// Servers with the books that a choice looks at.
 struct fleet {
     server_table table;
-    load_book loads;
-    pace_book paces;
+    load_tracker loads;
+    server_speed_tracker paces;
     server_health health{health_options{}};
 
     fleet()
@@ -128,7 +128,7 @@
 
 TEST_CASE("a book that is emptied holds nothing", "[load_book]")
 {
-    load_book loads;
+    load_tracker loads;
     const common::server_id id{"a"};
     loads.begin(id, 0.1);
     loads.begin(id, 0.2);
@@ -382,7 +382,7 @@
 TEST_CASE("what long work takes is not told by many short requests", "[pace_book]")
 {
     // Short requests take more time for their work than long ones: each costs a step of the engine.
-    pace_book paces;
+    server_speed_tracker paces;
     CHECK(paces.expected(1000.0) == milliseconds{0});
     for (int i = 0; i < 400; ++i) {
         paces.note(common::server_id{"a"}, milliseconds{30}, 0.0);
--- a/source/unit_tests/routing/version_evidence_test.cpp
+++ b/source/unit_tests/routing/version_evidence_test.cpp
@@ -223,7 +223,7 @@
 TEST_CASE("what no peer could have seen does not break the sums", "[evidence]")
 {
     version_evidence seen{evidence_options{}};
-    told_evidence absurd;
+    evidence_report absurd;
     absurd.bets = {1.0}; // Of another release.
     absurd.usual_times[1] = {1e9, 1e9};
     seen.hear(common::host_id{"peer"}, {{drafts, absurd}});
