--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -97,7 +97,7 @@
         if (node != nullptr) {
             node->alive->revive();
             node->core->shut_down(this->time.now(), [](std::size_t) {});
-            node->keepers->stop();
+            node->claim_arbiters->stop();
             node->follower->stop();
         }
     }
@@ -233,7 +233,7 @@
     watching.now = this->time.clock();
     watching.timer = node.alive->timers();
     watching.entries_changed = [at = &node](std::vector<common::host_id> found) {
-        at->keepers->update_entries(std::move(found));
+        at->claim_arbiters->update_entries(std::move(found));
     };
     node.hosts = std::make_shared<membership::host_watch>(
         here, std::size_t{2}, std::move(watching), node.members);
@@ -252,20 +252,20 @@
 
 auto fleet::make_claims(entry_node& node) -> void
 {
-    node.keepers = std::make_shared<claims::keeper_set>(
-        claims::keeper_set_config{node.host},
-        claims::keeper_hooks{
+    node.claim_arbiters = std::make_shared<claims::claim_arbiter_set>(
+        claims::claim_arbiter_set_config{node.host},
+        claims::claim_arbiter_hooks{
             this->log_for(node.alive), this->time.clock(), node.alive->timers(), this->random});
-    entry_program::claim_route::parts route;
+    entry_program::claim_router::dependencies route;
     route.self = node.host;
-    route.keepers = node.keepers;
+    route.claim_arbiters = node.claim_arbiters;
     route.hosts = node.hosts;
     route.members = node.members;
     route.peers = this->net.peers_for(node.alive);
     route.agents = this->net.agents_for(node.alive);
     route.now = this->time.clock();
     route.timer = node.alive->timers();
-    node.claiming = std::make_shared<entry_program::claim_route>(std::move(route));
+    node.claiming = std::make_shared<entry_program::claim_router>(std::move(route));
 }
 
 /// Where the daemons choose a gatherer among many entries, here e1 is the one of e2.
@@ -290,7 +290,7 @@
     return billing::collector::create({}, std::move(hooks));
 }
 
-auto fleet::connect_rules(const entry_ptr& node, entry::collaborators& parts) -> void
+auto fleet::connect_rules(const entry_ptr& node, entry::core_hooks& parts) -> void
 {
     auto* at = node.get();
     parts.snapshot = [this, at]() -> inventory::snapshot_ptr {
@@ -303,7 +303,7 @@
     parts.choose_version = [this, at](const auto& current, const auto& question) {
         return at->versions->choose(current, question, common::random_unit(this->random));
     };
-    parts.take_limits = [this, at](const auto& owner, const auto& expected) {
+    parts.reserve_limits = [this, at](const auto& owner, const auto& expected) {
         return at->shares->admit(owner, expected, this->time.now());
     };
     parts.settle_limits = [at](const auto& owner, const auto& expected, const auto& used) {
@@ -318,7 +318,7 @@
     };
 }
 
-auto fleet::connect_accounts(const entry_ptr& node, entry::collaborators& parts) -> void
+auto fleet::connect_accounts(const entry_ptr& node, entry::core_hooks& parts) -> void
 {
     auto* at = node.get();
     parts.claim = [at](auto claim, auto deadline, auto done) {
@@ -330,7 +330,7 @@
     parts.accepts_bills = [at] {
         return at->bills->accepts_work();
     };
-    parts.bill = [this, at](messages::bill item) {
+    parts.add_bill = [this, at](messages::bill item) {
         if (this->fault == mutation::doubled_bill) {
             auto copy = item;
             copy.request.low ^= 1U;
@@ -338,7 +338,7 @@
         }
         at->bills->add(std::move(item));
     };
-    parts.rate = [at, submit = this->ratings.hooks().submit](entry::rated_chat item) {
+    parts.submit_for_rating = [at, submit = this->ratings.hooks().submit](entry::rated_chat item) {
         at->versions->on_submitted(item.request, {item.version, item.organisation, item.task});
         submit(item.request, std::move(item.question), std::move(item.answer));
     };
@@ -346,7 +346,7 @@
 
 auto fleet::make_core(const entry_ptr& node) -> void
 {
-    entry::collaborators parts;
+    entry::core_hooks parts;
     parts.now = this->time.clock();
     parts.wall_now = [this] {
         return common::wall_time_ms(this->time.now().time_since_epoch() / 1ms);
@@ -378,7 +378,7 @@
         done(at->follower->answer(pull));
     };
     offered->peer.claim = [at](auto claim, auto done) {
-        at->keepers->claim(std::move(claim), std::move(done));
+        at->claim_arbiters->claim(std::move(claim), std::move(done));
     };
     offered->peer.hand_over = [at](auto items, auto done) {
         at->bills->receive(std::move(items), std::move(done));
@@ -450,7 +450,7 @@
 
 auto fleet::leave(entry_node& node) -> void
 {
-    node.keepers->stop();
+    node.claim_arbiters->stop();
     node.left = true;
     node.alive->kill();
     this->net.close(node.address);
