--- a/source/unit_tests/claims/partition_fixture.hpp
+++ b/source/unit_tests/claims/partition_fixture.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "claims/keeper.hpp"
+#include "claims/claim_arbiter.hpp"
 #include "platform/fake_log.hpp"
 #include "platform/fake_time.hpp"
 
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-/// A claim for key number `key` by request number `request`, on its way to an agent.
+/// Claim of key number `key` by request number `request`, which names an agent.
 inline auto make_claim(std::uint64_t key, std::uint64_t request, std::uint64_t body = 1)
     -> messages::claim_request
 {
@@ -39,40 +39,40 @@
     return made;
 }
 
-/// The answer to one claim, once it is there.
+/// The answer to one claim; empty until it arrives.
 using answer_slot = std::shared_ptr<std::optional<messages::claim_answer>>;
 
-/// Keepers of one partition over one fake log on virtual time.
+/// Arbiters of one partition with a fake log on virtual time.
 struct partition_fixture {
     platform::fake_time time{common::time_point{1h}};
     platform::fake_log log{time.clock(), time.timers()};
     std::uint64_t random = 0;
-    keeper_config config = make_config();
+    claim_arbiter_config config = make_config();
 
-    static auto make_config() -> keeper_config
+    static auto make_config() -> claim_arbiter_config
     {
-        keeper_config made;
+        claim_arbiter_config made;
         made.stream = "claims-00";
         return made;
     }
 
-    auto hooks() -> keeper_hooks
+    auto hooks() -> claim_arbiter_hooks
     {
         return {this->log.hooks(), this->time.clock(), this->time.timers(), [this] {
                     return ++this->random;
                 }};
     }
 
-    /// A keeper that has had a second to read the window.
-    auto keep() -> std::shared_ptr<keeper>
+    /// Starts an arbiter and gives it one second to replay the window.
+    auto start_arbiter() -> std::shared_ptr<claim_arbiter>
     {
-        auto made = keeper::create(this->config, this->hooks());
+        auto made = claim_arbiter::create(this->config, this->hooks());
         made->start();
         this->time.run_for(1s);
         return made;
     }
 
-    static auto ask(const std::shared_ptr<keeper>& from, messages::claim_request claim)
+    static auto submit(const std::shared_ptr<claim_arbiter>& from, messages::claim_request claim)
         -> answer_slot
     {
         auto slot = std::make_shared<std::optional<messages::claim_answer>>();
@@ -81,11 +81,11 @@
         return slot;
     }
 
-    /// Asks and waits until the log has decided.
-    auto decide(const std::shared_ptr<keeper>& from, messages::claim_request claim)
+    /// Submits the claim and waits three seconds for the answer.
+    auto decide(const std::shared_ptr<claim_arbiter>& from, messages::claim_request claim)
         -> messages::claim_answer
     {
-        const auto slot = ask(from, std::move(claim));
+        const auto slot = submit(from, std::move(claim));
         this->time.run_for(3s);
         return slot->value_or(messages::claim_answer{});
     }
--- a/source/unit_tests/policy/option_choice_test.cpp
+++ b/source/unit_tests/policy/option_choice_test.cpp
@@ -96,7 +96,7 @@
 
 TEST_CASE("estimates tighten with ratings and notice drift")
 {
-    quality_book tracker{quality_options{}};
+    quality_tracker tracker{quality_options{}};
     const common::task_name task("tagging");
     tracker.set_prior(key("small"), task, 0.9);
     CHECK(tracker.estimate(key("small"), task).mean == Approx(0.9));
