--- a/source/core/entry/attempt.cpp
+++ b/source/core/entry/attempt.cpp
@@ -103,7 +103,7 @@
 auto retry(const exchange_ptr& item, const common::error& why) -> void
 {
     auto& context = *item->context;
-    if (!context.retry_budget.take_retry()) {
+    if (!context.retry_budget.try_acquire_retry()) {
         auto budget_error = common::make_error(common::result_code::retry_budget_spent);
         budget_error.detail = "after " + std::string(common::row_of(why.code).name);
         budget_error.run = why.run;
--- a/source/core/entry/version_policy.cpp
+++ b/source/core/entry/version_policy.cpp
@@ -161,7 +161,7 @@
     const auto chosen = std::ranges::find(options, made.key, &policy::option::key);
     const auto most_expensive = std::ranges::max(options, {}, &policy::option::expected_cost);
     const std::lock_guard guard(this->lock);
-    this->accounts[key].book(chosen->quality, target, most_expensive.expected_cost);
+    this->accounts[key].update(chosen->quality, target, most_expensive.expected_cost);
 }
 
 auto version_policy::choose_among(
@@ -211,7 +211,7 @@
             continue;
         }
         if (this->rollouts.alarmed(item.to) ||
-            !policy::in_share(share_hash(query, id), item.share)) {
+            !policy::is_in_rollout_share(share_hash(query, id), item.share)) {
             continue;
         }
         decision.runner_up = item.from;
--- a/source/core/entry/version_policy.hpp
+++ b/source/core/entry/version_policy.hpp
@@ -18,7 +18,7 @@
 #include "inventory/state.hpp"
 #include "messages/peer.hpp"
 #include "platform/hooks.hpp"
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 #include "policy/quality.hpp"
 
 namespace reedramp::entry {
@@ -92,13 +92,13 @@
         version_decision decision) const -> version_decision;
 
     version_policy_settings settings;
-    policy::quality_book quality;
+    policy::quality_tracker quality;
     control::awaiting_ratings awaiting;
     control::evidence_source own_evidence;
     control::evidence_board board;
     control::rollout_controller rollouts;
     std::mutex lock;
-    std::map<account_key, policy::quality_account> accounts;
+    std::map<account_key, policy::quality_price_controller> accounts;
 };
 
 } // namespace reedramp::entry
--- a/source/core/policy/quality.hpp
+++ b/source/core/policy/quality.hpp
@@ -45,7 +45,7 @@
 };
 
 /// Exponentially forgetting mean and variance.
-class forgetting_mean {
+class exponential_mean {
 public:
     auto add(double value, double memory) -> void;
 
@@ -64,9 +64,9 @@
 /// Estimates of the mean rating of each option in each task, from ratings that come late or never.
 /// The requests to be rated are drawn at random by the entry, whatever was answered; a share that
 /// depended on the answer would bias the mean. Safe for several threads.
-class quality_book {
+class quality_tracker {
 public:
-    explicit quality_book(quality_options options);
+    explicit quality_tracker(quality_options options);
 
     /// Sets the operator's expectation; used until ratings outweigh it.
     auto set_prior(const option_key& option, const common::task_name& task, double mean) -> void;
@@ -80,8 +80,8 @@
 private:
     struct record {
         std::optional<double> prior;
-        forgetting_mean slow;
-        forgetting_mean quick;
+        exponential_mean slow;
+        exponential_mean quick;
     };
 
     [[nodiscard]] auto drifted(const record& seen) const -> bool;
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -128,8 +128,8 @@
     placing.random = daemon::random_bits;
     placing.probe = this->peers->agents().probe;
     this->placer = entry::placer::create(this->settings.placer, std::move(placing), this->members);
-    this->limiter = std::make_unique<limits::share_keeper>(
-        limits::share_settings{this->settings.self.host, this->settings.self.data_centre},
+    this->limiter = std::make_unique<limits::shared_limiter>(
+        limits::shared_limiter_settings{this->settings.self.host, this->settings.self.data_centre},
         daemon::random_bits());
 }
 
@@ -227,7 +227,7 @@
                               const common::organisation_id& id,
                               const limits::amounts& expected,
                               const limits::amounts& used) {
-        this->limiter->settle(id, expected, used);
+        this->limiter->reconcile(id, expected, used);
     };
 }
 
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -485,7 +485,7 @@
     const auto budget = test.options.retries;
     CHECK(
         static_cast<double>(test.runs.size() - calls) <=
-        budget.most_saved + budget.retries_per_first_try * calls);
+        budget.max_saved + budget.retries_per_first_try * calls);
 }
 
 TEST_CASE("a retry requires proof that nothing ran, or an idempotent request", "[recovery]")
