--- a/source/core/entry/core.cpp
+++ b/source/core/entry/core.cpp
@@ -41,7 +41,8 @@
 
     auto handle(http::request request, std::shared_ptr<http::responder> responder) -> void override;
 
-    auto shut_down(common::time_point deadline, std::function<auto(std::size_t cut)->void> done)
+    auto shut_down(
+        common::time_point deadline, std::function<auto(std::size_t aborted_count)->void> done)
         -> void override;
 
     [[nodiscard]] auto ready() const -> bool override
@@ -73,7 +74,7 @@
 
     std::mutex lock;
     /// Completion callback of a shutdown in progress.
-    std::function<auto(std::size_t cut)->void> on_drained;
+    std::function<auto(std::size_t aborted_count)->void> on_drained;
 };
 
 auto core_impl::schedule_deadline_check() -> void
@@ -227,7 +228,7 @@
 }
 
 auto core_impl::shut_down(
-    common::time_point deadline, std::function<auto(std::size_t cut)->void> done) -> void
+    common::time_point deadline, std::function<auto(std::size_t aborted_count)->void> done) -> void
 {
     {
         const std::lock_guard guard(this->lock);
@@ -260,7 +261,7 @@
 
 auto core_impl::finish_shutdown() -> void
 {
-    std::function<auto(std::size_t cut)->void> done;
+    std::function<auto(std::size_t aborted_count)->void> done;
     {
         const std::lock_guard guard(this->lock);
         done = std::exchange(this->on_drained, nullptr);
--- a/source/core/entry/core.hpp
+++ b/source/core/entry/core.hpp
@@ -85,8 +85,8 @@
     /// error the caller has not caused. Requests still in flight at `deadline` are aborted, and
     /// later ones are refused. `done` is called once, when no request is left, with the number of
     /// aborted requests.
-    virtual auto
-    shut_down(common::time_point deadline, std::function<auto(std::size_t cut)->void> done)
+    virtual auto shut_down(
+        common::time_point deadline, std::function<auto(std::size_t aborted_count)->void> done)
         -> void = 0;
 
     /// Whether the entry is ready for callers: it has a configuration and knows its servers,
--- a/source/entry/administration.hpp
+++ b/source/entry/administration.hpp
@@ -17,7 +17,7 @@
 
 namespace reedramp::entry_program {
 
-/// What operators ask of this entry.
+/// Implements the hooks of the administration API for this entry. Thread-safe.
 class administration : public std::enable_shared_from_this<administration> {
 public:
     struct dependencies {
@@ -42,7 +42,8 @@
     auto withdraw(const common::version_id& version, const entry::text_response_hook& done) -> void;
     auto history() const -> std::string;
     auto status() const -> std::string;
-    /// Reads the stream of bills on from where the last reading ended.
+    /// Reads the bill stream from where the last read ended up to its head, then answers with the
+    /// totals.
     auto read_bills(entry::text_response_hook done) -> void;
     auto bills_text() -> std::string;
 
--- a/source/entry/claim_router.cpp
+++ b/source/entry/claim_router.cpp
@@ -6,32 +6,34 @@
 
 namespace {
 
-/// Keepers asked to decide on a name.
+/// Maximum number of arbiters that are asked about a session name.
 constexpr std::size_t max_name_attempts = 2;
 
 } // namespace
 
 auto claim_router::call_arbiter(
     std::size_t rank,
-    messages::claim_request wanted,
+    messages::claim_request request,
     messages::answer_hook<messages::claim_answer> done) -> void
 {
-    const auto order = this->deps.claim_arbiters->ranked_entries(wanted, rank + 1);
+    const auto order = this->deps.claim_arbiters->ranked_entries(request, rank + 1);
     if (rank >= order.size()) {
-        done(common::failure(common::result_code::peer_unavailable, "no further entry"));
+        done(common::failure(
+            common::result_code::peer_unavailable, "no other entry can arbitrate the claim"));
         return;
     }
     const auto& arbiter = order[rank];
     if (arbiter == this->deps.self) {
-        this->deps.claim_arbiters->claim(std::move(wanted), std::move(done));
+        this->deps.claim_arbiters->claim(std::move(request), std::move(done));
         return;
     }
     const auto address = this->deps.hosts->address_of(arbiter);
     if (address.value().empty()) {
-        done(common::failure(common::result_code::peer_unavailable, "no address of the arbiter"));
+        done(common::failure(
+            common::result_code::peer_unavailable, "the address of the claim arbiter is unknown"));
         return;
     }
-    this->deps.peers.claim(address, std::move(wanted), std::move(done));
+    this->deps.peers.claim(address, std::move(request), std::move(done));
 }
 
 auto claim_router::query_agent(
@@ -41,14 +43,15 @@
 {
     const auto found = this->deps.members->find(server);
     if (!found || found->rpc.value().empty()) {
-        done(common::failure(common::result_code::not_found, "no address of the agent"));
+        done(
+            common::failure(common::result_code::not_found, "the address of the agent is unknown"));
         return;
     }
     this->deps.agents.ask(found->rpc, query, std::move(done));
 }
 
 auto claim_router::claim_key(
-    messages::claim_request wanted,
+    messages::claim_request request,
     common::time_point deadline,
     std::function<auto(claims::claim_result end)->void> done) -> void
 {
@@ -67,31 +70,31 @@
                               messages::answer_hook<messages::outcome_answer> answer) {
         self->query_agent(server, query, std::move(answer));
     };
-    claims::claim_key({}, hooks, std::move(wanted), deadline, std::move(done));
+    claims::claim_key({}, hooks, std::move(request), deadline, std::move(done));
 }
 
 auto claim_router::claim_name(
-    messages::claim_request wanted, messages::answer_hook<messages::claim_answer> done) -> void
+    messages::claim_request request, messages::answer_hook<messages::claim_answer> done) -> void
 {
-    this->claim_name_from(0, std::move(wanted), std::move(done));
+    this->claim_name_from(0, std::move(request), std::move(done));
 }
 
 auto claim_router::claim_name_from(
     std::size_t rank,
-    messages::claim_request wanted,
+    messages::claim_request request,
     messages::answer_hook<messages::claim_answer> done) -> void
 {
     this->call_arbiter(
         rank,
-        wanted,
-        [self = this->shared_from_this(), rank, wanted, done = std::move(done)](
+        request,
+        [self = this->shared_from_this(), rank, request, done = std::move(done)](
             common::result<messages::claim_answer> answer) {
             if (answer) {
                 done(std::move(answer));
                 return;
             }
             if (rank + 1 < max_name_attempts) {
-                self->claim_name_from(rank + 1, wanted, done);
+                self->claim_name_from(rank + 1, request, done);
                 return;
             }
             done(common::failure(common::result_code::claims_unavailable));
--- a/source/entry/claim_router.hpp
+++ b/source/entry/claim_router.hpp
@@ -11,7 +11,7 @@
 
 namespace reedramp::entry_program {
 
-/// Brings claims to the entry that keeps their partition, which may be this one.
+/// Forwards claims to the entry that arbitrates their partition, which may be this one.
 class claim_router : public std::enable_shared_from_this<claim_router> {
 public:
     struct dependencies {
@@ -27,21 +27,21 @@
 
     explicit claim_router(dependencies given) : deps(std::move(given)) {}
 
-    /// For `entry::core_hooks::claim`.
+    /// Implements `entry::core_hooks::claim`.
     auto claim_key(
-        messages::claim_request wanted,
+        messages::claim_request request,
         common::time_point deadline,
         std::function<auto(claims::claim_result end)->void> done) -> void;
 
-    /// For `entry::core_hooks::claim_name`: the first keeper that answers decides.
+    /// Implements `entry::core_hooks::claim_name`: the first arbiter that answers decides.
     auto
-    claim_name(messages::claim_request wanted, messages::answer_hook<messages::claim_answer> done)
+    claim_name(messages::claim_request request, messages::answer_hook<messages::claim_answer> done)
         -> void;
 
 private:
     auto call_arbiter(
         std::size_t rank,
-        messages::claim_request wanted,
+        messages::claim_request request,
         messages::answer_hook<messages::claim_answer> done) -> void;
     auto query_agent(
         const common::server_id& server,
@@ -49,7 +49,7 @@
         messages::answer_hook<messages::outcome_answer> done) -> void;
     auto claim_name_from(
         std::size_t rank,
-        messages::claim_request wanted,
+        messages::claim_request request,
         messages::answer_hook<messages::claim_answer> done) -> void;
 
     const dependencies deps;
--- a/source/entry/entry_metrics.cpp
+++ b/source/entry/entry_metrics.cpp
@@ -13,13 +13,13 @@
     this->registry
         .histogram_of(
             "reedramp_entry_attempt_us",
-            "Time from dispatch to the whole answer, microseconds",
+            "Time from dispatch to the complete response, microseconds",
             {{"version", version}})
         .record(static_cast<double>(elapsed.count()));
     this->registry
         .counter_of(
             "reedramp_entry_completion_tokens_total",
-            "Completion tokens of whole answers",
+            "Completion tokens of complete responses",
             {{"version", version}})
         .add(report.used.completion_tokens.value());
 }
@@ -44,35 +44,43 @@
 
 auto entry_metrics::update_core_counters(const entry::core_counters& counters) -> void
 {
-    this->update_counter("reedramp_entry_answered_total", "Whole answers", {}, counters.answered);
-    this->update_counter("reedramp_entry_retries_total", "Second tries", {}, counters.retries);
+    this->update_counter(
+        "reedramp_entry_answered_total", "Complete responses", {}, counters.answered);
+    this->update_counter(
+        "reedramp_entry_retries_total",
+        "Attempts after the first one of a request",
+        {},
+        counters.retries);
     this->update_counter(
         "reedramp_entry_continued_streams_total",
-        "Streams that went on at another server",
+        "Retries that continued a partly sent stream",
         {},
         counters.continued_streams);
     this->update_counter(
         "reedramp_entry_late_events_total",
-        "Events of earlier attempts that were dropped",
+        "Dropped events of earlier attempts or ended requests",
         {},
         counters.late_events);
     this->update_counter(
-        "reedramp_entry_cut_total", "Requests cut by a shutdown", {}, counters.aborted_by_shutdown);
+        "reedramp_entry_cut_total",
+        "Requests aborted at the deadline of a shutdown",
+        {},
+        counters.aborted_by_shutdown);
     for (const auto& [code, count] : counters.refusals) {
         this->update_counter(
             "reedramp_entry_refusals_total",
-            "Answers with an error, by code",
+            "Errors sent to callers and requests cancelled by them, by result code",
             {{"code", std::string(common::row_of(code).name)}},
             count);
     }
     for (const auto& [version, count] : counters.versions) {
         this->update_counter(
             "reedramp_entry_version_answers_total",
-            "Whole answers by version",
+            "Complete responses by version",
             {{"version", version.value()}},
             count);
     }
-    this->update_gauge("reedramp_entry_in_flight", "Requests under way", counters.in_flight);
+    this->update_gauge("reedramp_entry_in_flight", "Requests in flight", counters.in_flight);
 }
 
 auto entry_metrics::text(const sources& from) -> std::string
@@ -81,13 +89,20 @@
     this->update_core_counters(from.core.counters());
     const auto bills = from.bills.counters();
     const auto claims = from.claim_arbiters.counters();
-    this->update_gauge("reedramp_entry_pending_bills", "Bills not read back", bills.pending_bills);
-    this->update_gauge("reedramp_entry_pending_bill_bytes", "Bytes of these", bills.pending_bytes);
+    this->update_gauge(
+        "reedramp_entry_pending_bills",
+        "Bills not yet confirmed by reading them back from the log",
+        bills.pending_bills);
+    this->update_gauge(
+        "reedramp_entry_pending_bill_bytes",
+        "Size of the unconfirmed bills, bytes",
+        bills.pending_bytes);
     this->update_counter(
-        "reedramp_entry_bill_appends_total", "Appends of bills", {}, bills.appends);
-    this->update_gauge("reedramp_entry_claim_keys", "Keys that the keepers hold", claims.keys);
+        "reedramp_entry_bill_appends_total", "Appends of bills to the log", {}, bills.appends);
+    this->update_gauge(
+        "reedramp_entry_claim_keys", "Keys held by the claim arbiters of this entry", claims.keys);
     this->update_counter(
-        "reedramp_entry_claim_appends_total", "Appends of claims", {}, claims.appends);
+        "reedramp_entry_claim_appends_total", "Appends of claims to the log", {}, claims.appends);
     this->update_gauge(
         "reedramp_entry_configuration_offset",
         "Offset of the configuration in force",
--- a/source/entry/entry_metrics.hpp
+++ b/source/entry/entry_metrics.hpp
@@ -13,10 +13,10 @@
 
 namespace reedramp::entry_program {
 
-/// The entry's series for GET /metrics.
+/// The entry's time series for GET /metrics. Thread-safe.
 class entry_metrics {
 public:
-    /// An attempt has ended.
+    /// Records an ended attempt; only answered ones count.
     auto count_attempt(const entry::attempt_report& report) -> void;
 
     struct sources {
@@ -39,7 +39,8 @@
 
     metrics::registry registry;
     std::mutex lock;
-    /// Totals at the last reading, since the registry's counters take differences.
+    /// Totals at the last reading, by name and label values: the registry's counters are increased
+    /// by differences.
     std::map<std::string, std::uint64_t> reported_totals;
 };
 
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The inventory's servers, as membership takes them.
+/// Converts the inventory's servers to rows of the membership view.
 auto server_rows(const inventory::state& state) -> std::vector<membership::server_row>
 {
     std::vector<membership::server_row> rows;
@@ -55,7 +55,7 @@
 
 entry_process::~entry_process()
 {
-    // What calls into the others ends first.
+    // Components that call into others are stopped before these.
     this->http.reset();
     this->rpc.reset();
     if (this->follower) {
@@ -200,7 +200,7 @@
     this->bills = billing::collector::create(config, std::move(hooks));
 }
 
-auto entry_process::set_policy_hooks(entry::core_hooks& hooks) -> void
+auto entry_process::set_routing_hooks(entry::core_hooks& hooks) -> void
 {
     hooks.snapshot = [from = this->follower]() -> inventory::snapshot_ptr {
         return from->ready() ? from->snapshot() : nullptr;
@@ -263,7 +263,7 @@
     hooks.random = daemon::random_bits;
     hooks.timer = this->threads.timers();
     hooks.agents = this->peers->agents();
-    this->set_policy_hooks(hooks);
+    this->set_routing_hooks(hooks);
     this->set_accounting_hooks(hooks);
     hooks.place = [by = this->placer](entry::placement_query query, auto done) {
         by->place(std::move(query), std::move(done));
@@ -357,7 +357,8 @@
     return this->http->port();
 }
 
-/// Snapshots may come out of order from several threads; an older one must not undo a newer one.
+/// Snapshots may arrive out of order from several threads; an older one must not replace a newer
+/// one.
 auto entry_process::configuration_changed(const inventory::snapshot_ptr& state) -> void
 {
     const std::lock_guard guard(this->configuration_lock);
--- a/source/entry/entry_process.hpp
+++ b/source/entry/entry_process.hpp
@@ -31,8 +31,8 @@
 
 namespace reedramp::entry_program {
 
-/// The whole process: connects the core and its hooks to sockets, threads and timers. It decides
-/// nothing.
+/// The entry process: connects the core and its collaborators to sockets, threads and timers. It
+/// contains no routing logic.
 class entry_process {
 public:
     explicit entry_process(entry_settings wanted);
@@ -42,13 +42,14 @@
     auto operator=(const entry_process&) -> entry_process& = delete;
     auto operator=(entry_process&&) -> entry_process& = delete;
 
-    /// Opens the listeners and starts to follow the configuration. Requests are refused `not_run`
-    /// until there is one.
+    /// Opens the listeners and starts following the configuration. Until a configuration has been
+    /// read, requests are refused with `not_run`.
     auto start() -> common::result<void>;
 
-    /// Lets the requests under way finish within the limit, then confirms or hands over the bills.
-    /// Calls `done` with the number of requests that were cut. Called once.
-    auto shut_down(std::function<auto(std::size_t cut)->void> done) -> void;
+    /// Shuts down gracefully: lets requests in flight complete within the timeout, then waits for
+    /// the bills to be confirmed or hands them over. Calls `done` with the number of aborted
+    /// requests. Must be called once.
+    auto shut_down(std::function<auto(std::size_t aborted_count)->void> done) -> void;
 
     [[nodiscard]] auto rpc_address() const -> std::string;
     [[nodiscard]] auto http_port() const -> std::uint16_t;
@@ -63,7 +64,7 @@
     auto make_bills() -> void;
     auto make_core() -> void;
     auto make_core_hooks() -> entry::core_hooks;
-    auto set_policy_hooks(entry::core_hooks& hooks) -> void;
+    auto set_routing_hooks(entry::core_hooks& hooks) -> void;
     auto set_accounting_hooks(entry::core_hooks& hooks) -> void;
     auto open_rpc() -> common::result<void>;
     auto open_http() -> common::result<void>;
@@ -81,7 +82,9 @@
     auto propose(const control::rollout_action& action) -> void;
     auto submit_for_rating(entry::rated_chat item) -> void;
     auto wait_for_connections(common::time_point limit, std::function<auto()->void> done) -> void;
-    auto finish_shutdown(std::size_t cut, std::function<auto(std::size_t cut)->void> done) -> void;
+    auto finish_shutdown(
+        std::size_t aborted_count, std::function<auto(std::size_t aborted_count)->void> done)
+        -> void;
     auto flush_bills(common::time_point limit, std::function<auto()->void> done) -> void;
     auto hand_over_bills(std::function<auto()->void> done) -> void;
 
--- a/source/entry/entry_process_shutdown.cpp
+++ b/source/entry/entry_process_shutdown.cpp
@@ -4,33 +4,35 @@
 #include "daemon/clock.hpp"
 #include "entry_process.hpp"
 
-/// The graceful shutdown: callers first, then bills.
+/// Graceful shutdown: first the callers' requests and connections, then the bills.
 namespace reedramp::entry_program {
 
 namespace {
 
 constexpr common::duration check_period = std::chrono::milliseconds(50);
-/// How long peers are asked to take the bills over, and the pause between two of them.
+/// How long peers are asked to take over the bills, and the pause between two requests.
 constexpr common::duration hand_over_timeout = std::chrono::seconds(30);
 constexpr common::duration hand_over_pause = std::chrono::milliseconds(500);
 
 } // namespace
 
-auto entry_process::shut_down(std::function<auto(std::size_t cut)->void> done) -> void
+auto entry_process::shut_down(std::function<auto(std::size_t aborted_count)->void> done) -> void
 {
-    common::log(common::log_part::entry, common::log_level::info, "leaving");
+    common::log(common::log_part::entry, common::log_level::info, "graceful shutdown started");
     const auto now = daemon::boot_time();
     const auto limit = now + this->settings.shutdown_timeout;
-    // The balancer sees that this entry is not ready before connections are refused.
+    // Gives the load balancer time to see that this entry isn't ready before connections are
+    // refused.
     this->threads.timers()(
         now + this->settings.shutdown_announce_time, [this] { this->http->close_listener(); });
-    this->core->shut_down(limit, [this, limit, done = std::move(done)](std::size_t cut) {
-        this->wait_for_connections(limit, [this, cut, done] { this->finish_shutdown(cut, done); });
+    this->core->shut_down(limit, [this, limit, done = std::move(done)](std::size_t aborted_count) {
+        this->wait_for_connections(
+            limit, [this, aborted_count, done] { this->finish_shutdown(aborted_count, done); });
     });
 }
 
-/// Open connections may bring a request at any moment, so they are waited for, too: the HTTP server
-/// closes each after its next answer or a short silence.
+/// Waits for open connections as well as requests, because a connection may carry another request
+/// at any moment. The HTTP server closes each after its next response or a short idle time.
 auto entry_process::wait_for_connections(common::time_point limit, std::function<auto()->void> done)
     -> void
 {
@@ -48,18 +50,19 @@
 }
 
 auto entry_process::finish_shutdown(
-    std::size_t cut, std::function<auto(std::size_t cut)->void> done) -> void
+    std::size_t aborted_count, std::function<auto(std::size_t aborted_count)->void> done) -> void
 {
     this->bills->flush();
-    this->flush_bills(daemon::boot_time() + this->settings.bills_timeout, [this, cut, done] {
-        this->claim_arbiters->stop();
-        this->threads.post([done, cut] { done(cut); });
-    });
+    this->flush_bills(
+        daemon::boot_time() + this->settings.bills_timeout, [this, aborted_count, done] {
+            this->claim_arbiters->stop();
+            this->threads.post([done, aborted_count] { done(aborted_count); });
+        });
 }
 
-/// Waits until the log has confirmed all bills; from the limit on asks one peer after the other to
-/// take over what it has not. A single call may be lost, or reach a peer that has ended or ends
-/// before it has written them, and the bills would be lost with it.
+/// Waits until the log has confirmed all bills. From the limit on, asks one peer after another to
+/// take over the remaining ones. A single call isn't enough: it may be lost, or reach a peer that
+/// ends before it has appended the bills, and they would be lost.
 auto entry_process::flush_bills(common::time_point limit, std::function<auto()->void> done) -> void
 {
     const auto now = daemon::boot_time();
@@ -69,7 +72,7 @@
             common::log(
                 common::log_part::bills,
                 common::log_level::error,
-                "no peer took the bills count=" + std::to_string(left));
+                "no peer confirmed the remaining bills count=" + std::to_string(left));
         }
         done();
         return;
@@ -105,7 +108,7 @@
             common::log(
                 common::log_part::bills,
                 answer ? common::log_level::info : common::log_level::error,
-                std::string(answer ? "handed over" : "not handed over") +
+                std::string(answer ? "bills handed over" : "handover of bills failed") +
                     " count=" + std::to_string(items.bills.size()) + " to=" + host.value());
             done();
         });
--- a/source/entry/entry_process_ticks.cpp
+++ b/source/entry/entry_process_ticks.cpp
@@ -6,13 +6,14 @@
 #include "entry_process.hpp"
 #include "inventory/checkpoint.hpp"
 
-/// What an entry does each second: news to the other entries, ratings, roll-outs, checkpoints.
+/// Periodic work, once a second: gossip with the other entries, ratings, roll-outs, checkpoints.
 namespace reedramp::entry_program {
 
 namespace {
 
 constexpr common::duration tick_period = std::chrono::seconds(1);
-/// Entries that hear of this one's evidence each second, besides those that get its demand.
+/// Number of randomly selected entries that receive this entry's evidence each second, in addition
+/// to those that receive its demand.
 constexpr std::size_t evidence_fan_out = 3;
 constexpr auto rollout_rank_key = "rollouts";
 constexpr auto checkpoint_rank_key = "checkpoints";
@@ -90,7 +91,8 @@
     this->ratings.submit(item.request, std::move(item.question), std::move(item.answer));
 }
 
-/// One fetch at a time: a slow rating service would else get more of them each second.
+/// Allows only one fetch at a time; otherwise fetches would pile up while the rating service is
+/// slow.
 auto entry_process::fetch_ratings() -> void
 {
     if (this->fetching_ratings.exchange(true)) {
@@ -118,7 +120,8 @@
     }
 }
 
-/// New processes start from the checkpoint when the log has dropped its first records.
+/// Appends a checkpoint if one is due. New processes start from it once the log has dropped its
+/// first records.
 auto entry_process::append_checkpoint() -> void
 {
     const auto rank = this->hosts->rank_of_self(checkpoint_rank_key);
@@ -156,14 +159,15 @@
             common::log(
                 common::log_part::rollout,
                 common::log_level::info,
-                "proposal " + outcome + " id=" + id.value());
+                "roll-out proposal " + outcome + " id=" + id.value());
             const auto* stop = std::get_if<control::propose_stop>(&action);
             const auto is_withdrawal =
                 stop != nullptr && stop->response == control::alarm_response::withdraw;
             if (answer || !is_withdrawal) {
                 return;
             }
-            // The log is down: the withdrawal goes from process to process meanwhile.
+            // The withdrawal could not be published; it is propagated between the processes
+            // instead.
             this->follower->withdraw(stop->version, id, "rollout-controller");
         });
 }
--- a/source/entry/main.cpp
+++ b/source/entry/main.cpp
@@ -12,8 +12,8 @@
 #include "entry_process.hpp"
 #include "settings.hpp"
 
-/// The process on an entry host. One JSON line on standard output tells its addresses once it
-/// listens; SIGTERM shuts it down gracefully.
+/// The entry process. Once it listens, it prints one JSON line with its addresses on standard
+/// output. SIGTERM starts a graceful shutdown.
 namespace {
 
 using namespace reedramp;
@@ -38,13 +38,13 @@
     print_addresses(process);
     std::promise<std::size_t> ended;
     const daemon::shutdown_signals signals(*process.pool().contexts().front(), [&] {
-        process.shut_down([&ended](std::size_t cut) { ended.set_value(cut); });
+        process.shut_down([&ended](std::size_t aborted_count) { ended.set_value(aborted_count); });
     });
-    const auto cut = ended.get_future().get();
+    const auto aborted_count = ended.get_future().get();
     common::log(
         common::log_part::entry,
-        cut == 0 ? common::log_level::info : common::log_level::warning,
-        "stopped; requests cut count=" + std::to_string(cut));
+        aborted_count == 0 ? common::log_level::info : common::log_level::warning,
+        "stopped; requests cut count=" + std::to_string(aborted_count));
     return daemon::exit_code::success;
 }
 
@@ -54,7 +54,7 @@
 {
     const daemon::program about{
         "reedramp-entry",
-        "Takes callers' requests and routes them to backend servers",
+        "Accepts requests from callers and routes them to backend servers",
         entry_program::settings_schema()};
     const auto given =
         daemon::read_command_line(about, argument_count, arguments, std::cout, std::cerr);
--- a/source/entry/settings.cpp
+++ b/source/entry/settings.cpp
@@ -18,21 +18,22 @@
 
 namespace {
 
-constexpr double most = 1e9;
-constexpr double least_bytes = 1024;
+constexpr double max_count = 1e9;
+constexpr double min_bytes = 1024;
 constexpr auto session_key_variable = "REEDRAMP_SESSION_KEY";
 
 auto identity_keys() -> settings::schema
 {
     return {
-        text_key("host", "Id of this host, as in the platform's list."),
+        text_key("host", "Id of this host, as in the platform's host list."),
         text_key("data_centre", "Data centre of this host."),
         text_key("region", "Region of this host."),
-        number_key("threads", "Threads for HTTP and timers.", 2, 1, 64),
-        number_key("rpc.threads", "Threads for calls to agents and other entries.", 1, 1, 64),
+        number_key("threads", "Number of threads for HTTP and timers.", 2, 1, 64),
+        number_key(
+            "rpc.threads", "Number of threads for calls to agents and other entries.", 1, 1, 64),
         number_key(
             "tailers",
-            "Least number of processes of a data centre that read the log; one in 16 does.",
+            "Minimum number of processes per data centre that read the log; one in 16 does.",
             2,
             1,
             64),
@@ -42,26 +43,32 @@
 auto address_keys() -> settings::schema
 {
     return {
-        address_key("http.listen", "Callers' and administration API, health, metrics."),
-        optional_text_key("http.certificate_file", "Certificate chain (PEM); empty: no TLS."),
-        optional_text_key("http.private_key_file", "Private key of the certificate (PEM)."),
-        number_key("http.connection_limit", "Callers' connections.", 2000, 1, 1e6),
-        bytes_key("http.body_limit", "Largest body of a request.", 4 << 20U, least_bytes),
-        bytes_key("http.header_limit", "Largest head of a request.", 16 << 10U, least_bytes),
-        time_key("http.read_timeout", "For a whole request, and for an idle connection.", 15'000),
-        address_key("rpc.listen", "Where other processes call."),
+        address_key(
+            "http.listen",
+            "Address for the callers' and administration APIs, health checks and metrics."),
+        optional_text_key(
+            "http.certificate_file", "File of the certificate chain (PEM); empty: no TLS."),
+        optional_text_key("http.private_key_file", "File of the certificate's private key (PEM)."),
+        number_key("http.connection_limit", "Maximum open connections of callers.", 2000, 1, 1e6),
+        bytes_key("http.body_limit", "Maximum size of a request body.", 4 << 20U, min_bytes),
+        bytes_key("http.header_limit", "Maximum size of a request head.", 16 << 10U, min_bytes),
+        time_key(
+            "http.read_timeout",
+            "Timeout for reading a request, and for an idle connection.",
+            15'000),
+        address_key("rpc.listen", "Address for calls from other processes."),
         optional_text_key(
             "rpc.shared_key_file",
-            "File of the key that all processes of the system share; empty: REEDRAMP_SHARED_KEY."),
-        address_key("platform.log", "The platform's log."),
-        address_key("platform.hosts", "The platform's list of hosts."),
-        address_key("platform.ratings", "The platform's rating service."),
-        time_key("platform.log_timeout", "Longest silence of the log.", 5000),
+            "File of the key shared by all processes; empty: environment REEDRAMP_SHARED_KEY."),
+        address_key("platform.log", "Address of the platform's log."),
+        address_key("platform.hosts", "Address of the platform's host list."),
+        address_key("platform.ratings", "Address of the platform's rating service."),
+        time_key("platform.log_timeout", "Timeout for responses of the log.", 5000),
         {.path = "operators.key_hashes",
          .type = value_type::text_list,
-         .doc = "SHA-256 in hexadecimal digits of the operators' keys.",
+         .doc = "SHA-256 hashes of the operators' keys, in hexadecimal.",
          .fallback = settings::text_list{}},
-        time_key("operators.publish_limit", "Wait until a record is read back.", 10'000),
+        time_key("operators.publish_limit", "Timeout for reading back a published record.", 10'000),
     };
 }
 
@@ -71,52 +78,101 @@
     return {
         optional_text_key(
             "sessions.key_file",
-            "File of the key that signs session tokens; empty: REEDRAMP_SESSION_KEY."),
-        number_key("sessions.key_id", "Id of that key.", 1, 0, last_id),
+            "File of the key that signs session tokens; empty: environment REEDRAMP_SESSION_KEY."),
+        number_key("sessions.key_id", "Id of the signing key.", 1, 0, last_id),
         optional_text_key(
             "sessions.previous_key_file",
-            "File of the key before; tokens signed by it are still taken."),
-        number_key("sessions.previous_key_id", "Id of the key before.", 0, 0, last_id),
-        time_key("sessions.life", "How long a session lasts.", 43'200'000),
-        time_key("sessions.wait", "Wait for a server of the session's version.", 5000, 0),
+            "File of the previous signing key, whose tokens are still accepted."),
+        number_key("sessions.previous_key_id", "Id of the previous signing key.", 0, 0, last_id),
+        time_key("sessions.life", "Lifetime of a session token.", 43'200'000),
+        time_key(
+            "sessions.wait",
+            "How long a request waits for a server of its session's version.",
+            5000,
+            0),
     };
 }
 
 auto request_keys() -> settings::schema
 {
     return {
-        time_key("requests.deadline", "For a caller that names none.", 30'000),
-        time_key("requests.longest_deadline", "A longer one is cut to this.", 300'000),
-        number_key("requests.limit", "Requests under way; more are refused.", 20'000, 1, most),
-        number_key("requests.attempts", "Servers tried for one request.", 4, 1, 16),
-        number_key("requests.retry_permille", "Retries for a thousand requests.", 100, 0, 1000),
-        number_key("requests.rate_every", "Each so many chats one is rated; 0: none.", 1, 0, most),
-        time_key("requests.ask_limit", "Wait for word of a lost idempotent run.", 300),
+        time_key("requests.deadline", "Timeout of a request without a deadline header.", 30'000),
+        time_key(
+            "requests.longest_deadline",
+            "Maximum timeout of a request; longer ones are reduced to it.",
+            300'000),
+        number_key(
+            "requests.limit",
+            "Maximum requests in flight; more are refused.",
+            20'000,
+            1,
+            max_count),
+        number_key("requests.attempts", "Maximum attempts per request.", 4, 1, 16),
+        number_key("requests.retry_permille", "Retry budget per thousand requests.", 100, 0, 1000),
+        number_key(
+            "requests.rate_every",
+            "One chat in this many is submitted for rating; 0: none.",
+            1,
+            0,
+            max_count),
+        time_key(
+            "requests.ask_limit", "How long the outcome of a lost idempotent run is queried.", 300),
         bytes_key(
-            "streams.backlog_high", "Unsent bytes that pause a stream.", 256 << 10U, least_bytes),
-        bytes_key("streams.backlog_low", "Unsent bytes that resume it.", 64 << 10U, least_bytes),
-        bytes_key("streams.backlog_limit", "Unsent bytes that end it.", 8 << 20U, least_bytes),
+            "streams.backlog_high",
+            "Unsent bytes above which a stream is paused.",
+            256 << 10U,
+            min_bytes),
+        bytes_key(
+            "streams.backlog_low",
+            "Unsent bytes below which a stream is resumed.",
+            64 << 10U,
+            min_bytes),
+        bytes_key(
+            "streams.backlog_limit",
+            "Unsent bytes above which a stream is aborted.",
+            8 << 20U,
+            min_bytes),
         bytes_key(
             "streams.kept_text",
-            "Longest text that another server goes on with.",
+            "Maximum sent text that is kept for continuing a stream on another server.",
             1 << 20U,
-            least_bytes),
-        number_key("servers.subset", "Servers used for one version.", 8, 1, 1000),
-        number_key("servers.elsewhere", "Of these, in other data centres.", 2, 0, 1000),
+            min_bytes),
+        number_key(
+            "servers.subset",
+            "Number of servers that this entry uses per version or service.",
+            8,
+            1,
+            1000),
+        number_key(
+            "servers.elsewhere",
+            "Number of these in other data centres, if there are any.",
+            2,
+            0,
+            1000),
         bytes_key(
             "bills.limit",
-            "Unconfirmed bills at which new work is refused.",
+            "Size of unconfirmed bills at which new requests are refused.",
             16 << 20U,
-            least_bytes),
-        time_key("shutdown.announce", "Not ready, before the listener closes.", 500, 0),
-        time_key("shutdown.limit", "Then what still runs is cut.", 60'000),
-        time_key("shutdown.bills_limit", "For confirming or handing over bills.", 5000),
+            min_bytes),
+        time_key(
+            "shutdown.announce",
+            "Time between turning not ready and closing the listener at shutdown.",
+            500,
+            0),
+        time_key(
+            "shutdown.limit",
+            "Time after which requests still in flight are aborted at shutdown.",
+            60'000),
+        time_key(
+            "shutdown.bills_limit",
+            "Time for the log to confirm the bills before they are handed over.",
+            5000),
     };
 }
 
 auto endpoint_of(const settings::values& from, std::string_view path) -> http::endpoint
 {
-    // The schema has checked it.
+    // The schema has validated the address.
     return http::parse_endpoint(from.text(path)).value_or(http::endpoint{});
 }
 
--- a/source/entry/settings.hpp
+++ b/source/entry/settings.hpp
@@ -17,7 +17,7 @@
 
 namespace reedramp::entry_program {
 
-/// What an entry's settings file says, in the types that its parts take.
+/// The settings of an entry, converted to the types of its components.
 struct entry_settings {
     membership::location self;
     std::size_t threads = 2;
@@ -43,7 +43,7 @@
 
 auto settings_schema() -> settings::schema;
 
-/// Also reads the files of the keys. Errors: `invalid_settings`.
+/// Converts the settings and reads the key files. Errors: `invalid_settings`.
 auto read_settings(const settings::values& from) -> common::result<entry_settings>;
 
 } // namespace reedramp::entry_program
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -446,9 +446,10 @@
     const auto first = test.chat(streamed);
     const auto second = test.chat(streamed);
     test.run(1).tokens(0, 1);
-    std::optional<std::size_t> cut;
+    std::optional<std::size_t> aborted_count;
     test.subject->shut_down(
-        test.time.now() + std::chrono::seconds(10), [&cut](std::size_t count) { cut = count; });
+        test.time.now() + std::chrono::seconds(10),
+        [&aborted_count](std::size_t count) { aborted_count = count; });
     CHECK_FALSE(test.subject->ready());
     CHECK(test.call({"GET", "/health/ready", {}, "", {}})->head.status == 503);
     const auto late = test.chat();
@@ -457,9 +458,9 @@
     test.run(0).tokens(0, 2);
     test.run(0).finish();
     CHECK(first->is_whole_stream());
-    CHECK_FALSE(cut.has_value());
+    CHECK_FALSE(aborted_count.has_value());
     test.time.run_for(std::chrono::seconds(11));
-    CHECK(cut == 1);
+    CHECK(aborted_count == 1);
     CHECK(second->problem_name() == "shutting_down");
     CHECK_FALSE(second->is_whole_stream());
     const auto refused = test.chat();
