--- a/source/agent/agent_process.cpp
+++ b/source/agent/agent_process.cpp
@@ -255,7 +255,7 @@
     hooks.current_until = [from = this->follower] {
         return from->current_until();
     };
-    hooks.catch_up = [from = this->follower](common::log_offset wanted) {
+    hooks.fetch_configuration = [from = this->follower](common::log_offset wanted) {
         from->expect(wanted);
     };
     hooks.report_usage = [this](const agent::usage_report& report) {
@@ -331,8 +331,8 @@
 {
     const auto running = this->current_core();
     const auto now = daemon::boot_time();
-    if (!running || running->idle() || now >= limit) {
-        const auto cut = running ? running->cut() : 0;
+    if (!running || running->is_idle() || now >= limit) {
+        const auto cut = running ? running->fail_all_runs() : 0;
         // Entries may still ask what became of a run whose answer they lost.
         this->threads.timers()(
             now + this->settings.drain_linger, [this, cut, done] { this->close_rpc(cut, done); });
--- a/source/agent/backend_client.cpp
+++ b/source/agent/backend_client.cpp
@@ -54,7 +54,7 @@
     }
 }
 
-auto backend_client::hook() -> agent::start_hook
+auto backend_client::hook() -> agent::start_call_hook
 {
     return
         [self = this->shared_from_this()](agent::backend_call call, agent::backend_events events) {
--- a/source/agent/backend_client.hpp
+++ b/source/agent/backend_client.hpp
@@ -22,7 +22,7 @@
         http::endpoint backend,
         const http::client_options& options);
 
-    auto hook() -> agent::start_hook;
+    auto hook() -> agent::start_call_hook;
 
 private:
     auto start(agent::backend_call call, agent::backend_events events)
--- a/source/agent/engine_control.cpp
+++ b/source/agent/engine_control.cpp
@@ -108,7 +108,7 @@
     common::log_offset after;
     {
         const std::lock_guard guard(this->lock);
-        after = this->registrations.next_read();
+        after = this->registrations.read_after();
     }
     this->with.log.read(
         platform::streams::registrations,
@@ -127,7 +127,7 @@
     common::result<common::log_offset> newest = failure(result_code::log_unavailable);
     if (answer) {
         const std::lock_guard guard(this->lock);
-        newest = this->registrations.take(*answer);
+        newest = this->registrations.apply(*answer);
     }
     if (newest && *newest == common::log_offset{}) {
         this->carry_out(step);
--- a/source/agent/engine_control.hpp
+++ b/source/agent/engine_control.hpp
@@ -5,7 +5,7 @@
 #include <mutex>
 #include <string>
 
-#include "agent/registration_tail.hpp"
+#include "agent/registration_watcher.hpp"
 #include "common/hooks.hpp"
 #include "common/ids.hpp"
 #include "control/orders.hpp"
@@ -56,7 +56,7 @@
     control::engine_orders orders;
 
     std::mutex lock;
-    agent::registration_tail registrations;
+    agent::registration_watcher registrations;
 };
 
 } // namespace reedramp::agent_program
--- a/source/agent/settings.cpp
+++ b/source/agent/settings.cpp
@@ -129,7 +129,7 @@
     options.record_limit = from.size("records.limit");
     options.kept_answers_limit = from.size("records.kept_answers");
     options.kept_answer_limit = from.size("records.kept_answer");
-    options.catch_up_limit = from.milliseconds("configuration.catch_up");
+    options.configuration_wait_limit = from.milliseconds("configuration.catch_up");
     return options;
 }
 
--- a/source/core/agent/answer_reader.cpp
+++ b/source/core/agent/answer_reader.cpp
@@ -31,47 +31,47 @@
 
 answer_reader::answer_reader(const messages::run_request& request, std::size_t limit)
     : kind(request.kind), asked_for_stream(request.stream), version(request.version.value()),
-      keep_limit(limit), next_index(request.sent_tokens.value())
+      text_limit(limit), next_token_index(request.sent_tokens.value())
 {
 }
 
-auto answer_reader::head(backend_head head) -> void
+auto answer_reader::on_head(backend_head head) -> void
 {
     this->answer_head = std::move(head);
 }
 
-auto answer_reader::streams() const -> bool
+auto answer_reader::is_streaming() const -> bool
 {
     return this->kind == messages::work_kind::chat && this->asked_for_stream &&
            this->answer_head.http_status == http_ok;
 }
 
-auto answer_reader::chunk(std::string piece)
+auto answer_reader::on_chunk(std::string piece)
     -> common::result<std::optional<messages::tokens_event>>
 {
-    if (!this->streams()) {
+    if (!this->is_streaming()) {
         this->body += piece;
         return std::nullopt;
     }
-    auto step = this->reader.feed(piece);
-    if (!step) {
-        return tl::unexpected(step.error());
+    auto parsed = this->reader.feed(piece);
+    if (!parsed) {
+        return tl::unexpected(parsed.error());
     }
-    if (step->tokens == 0) {
+    if (parsed->tokens == 0) {
         return std::nullopt;
     }
-    if (this->held_text.size() + step->text.size() <= this->keep_limit) {
-        this->held_text += step->text;
+    if (this->streamed_text.size() + parsed->text.size() <= this->text_limit) {
+        this->streamed_text += parsed->text;
     }
     else {
-        this->held_whole = false;
+        this->is_text_complete = false;
     }
-    messages::tokens_event event{this->next_index, step->tokens, std::move(step->text)};
-    this->next_index += event.count;
+    messages::tokens_event event{this->next_token_index, parsed->tokens, std::move(parsed->text)};
+    this->next_token_index += event.count;
     return event;
 }
 
-auto answer_reader::done(const common::result<void>& outcome) -> messages::run_event
+auto answer_reader::finish(const common::result<void>& outcome) -> messages::run_event
 {
     if (!outcome) {
         const auto& why = outcome.error();
@@ -79,7 +79,7 @@
             return messages::refused_event{
                 common::make_error(result_code::no_capacity, "backend server unreachable"), {}};
         }
-        return failed(result_code::server_lost, why.detail, this->used());
+        return failed(result_code::server_lost, why.detail, this->used_tokens());
     }
     if (this->kind == messages::work_kind::service) {
         return messages::finished_event{
@@ -89,22 +89,22 @@
             {},
             {}};
     }
-    return this->streams() ? this->whole_stream() : this->whole_chat();
+    return this->is_streaming() ? this->finish_stream() : this->finish_chat();
 }
 
-auto answer_reader::whole_stream() const -> messages::run_event
+auto answer_reader::finish_stream() const -> messages::run_event
 {
-    if (!this->reader.whole()) {
-        return failed(result_code::server_lost, "stream ended early", this->used());
+    if (!this->reader.is_complete()) {
+        return failed(result_code::server_lost, "stream ended early", this->used_tokens());
     }
     messages::finished_event event;
     event.content_type = this->answer_head.content_type;
-    event.used = this->used();
+    event.used = this->used_tokens();
     event.finish_reason = this->reader.finish_reason();
     return event;
 }
 
-auto answer_reader::whole_chat() -> messages::run_event
+auto answer_reader::finish_chat() -> messages::run_event
 {
     const auto status = this->answer_head.http_status;
     messages::finished_event event;
@@ -128,25 +128,25 @@
     return event;
 }
 
-auto answer_reader::kept_form(const messages::finished_event& finished) const
+auto answer_reader::answer_for_retry(const messages::finished_event& finished) const
     -> std::optional<messages::finished_event>
 {
     auto kept = finished;
-    if (!this->streams()) {
+    if (!this->is_streaming()) {
         return kept;
     }
-    if (!this->held_whole) {
+    if (!this->is_text_complete) {
         return std::nullopt;
     }
     kept.content_type = json_type;
     kept.body = build_engine_answer(
-        {finished.used, finished.finish_reason, this->held_text}, this->version);
+        {finished.used, finished.finish_reason, this->streamed_text}, this->version);
     return kept;
 }
 
-auto answer_reader::used() const -> messages::usage
+auto answer_reader::used_tokens() const -> messages::usage
 {
-    return this->streams() ? this->reader.used() : this->unary_usage;
+    return this->is_streaming() ? this->reader.used_tokens() : this->unary_usage;
 }
 
 } // namespace reedramp::agent
--- a/source/core/agent/answer_reader.hpp
+++ b/source/core/agent/answer_reader.hpp
@@ -14,42 +14,42 @@
 /// Makes the events of one run out of what its backend server answers. Not thread-safe.
 class answer_reader {
 public:
-    /// `keep_limit`: bytes of a streamed answer held for `kept_form`; 0 holds nothing.
-    answer_reader(const messages::run_request& request, std::size_t keep_limit);
+    /// `text_limit`: bytes of a streamed answer held for `answer_for_retry`; 0 holds nothing.
+    answer_reader(const messages::run_request& request, std::size_t text_limit);
 
-    auto head(backend_head head) -> void;
+    auto on_head(backend_head head) -> void;
 
     /// The tokens that this piece brought, if any. An error means that the answer is broken and
     /// the call is of no more use.
-    auto chunk(std::string piece) -> common::result<std::optional<messages::tokens_event>>;
+    auto on_chunk(std::string piece) -> common::result<std::optional<messages::tokens_event>>;
 
     /// The final event: finished, failed, or (when no byte was sent to the backend server) refused.
-    [[nodiscard]] auto done(const common::result<void>& outcome) -> messages::run_event;
+    [[nodiscard]] auto finish(const common::result<void>& outcome) -> messages::run_event;
 
     /// The finished event with a whole body also where the answer was streamed; nothing if the text
     /// was too long to hold.
-    [[nodiscard]] auto kept_form(const messages::finished_event& finished) const
+    [[nodiscard]] auto answer_for_retry(const messages::finished_event& finished) const
         -> std::optional<messages::finished_event>;
 
-    [[nodiscard]] auto used() const -> messages::usage;
+    [[nodiscard]] auto used_tokens() const -> messages::usage;
 
 private:
-    [[nodiscard]] auto streams() const -> bool;
-    [[nodiscard]] auto whole_stream() const -> messages::run_event;
-    [[nodiscard]] auto whole_chat() -> messages::run_event;
+    [[nodiscard]] auto is_streaming() const -> bool;
+    [[nodiscard]] auto finish_stream() const -> messages::run_event;
+    [[nodiscard]] auto finish_chat() -> messages::run_event;
 
     messages::work_kind kind;
     bool asked_for_stream;
     std::string version;
-    std::size_t keep_limit;
-    std::uint64_t next_index;
+    std::size_t text_limit;
+    std::uint64_t next_token_index;
     backend_head answer_head;
     std::string body;
     stream_reader reader;
     messages::usage unary_usage;
-    /// Text of a streamed answer, held only up to `keep_limit`.
-    std::string held_text;
-    bool held_whole = true;
+    /// Text of a streamed answer, held only up to `text_limit`.
+    std::string streamed_text;
+    bool is_text_complete = true;
 };
 
 } // namespace reedramp::agent
--- a/source/core/agent/backend.hpp
+++ b/source/core/agent/backend.hpp
@@ -48,7 +48,7 @@
     virtual auto resume() -> void = 0;
 };
 
-using start_hook =
+using start_call_hook =
     std::function<auto(backend_call call, backend_events events)->std::shared_ptr<backend_handle>>;
 
 } // namespace reedramp::agent
--- a/source/core/agent/core.hpp
+++ b/source/core/agent/core.hpp
@@ -22,7 +22,7 @@
     /// What the backend server gets at once, and the queue before it.
     placement::fair_queue_settings queue;
     /// How long a request may wait for the agent's configuration to reach the entry's.
-    common::duration catch_up_limit = std::chrono::seconds(2);
+    common::duration configuration_wait_limit = std::chrono::seconds(2);
     /// How long an ended request is remembered, so that a late copy of it is refused. A request's
     /// deadline may not be further away than half of it.
     common::duration record_window = std::chrono::minutes(15);
@@ -47,13 +47,13 @@
     common::timer_hook timer;
     /// Runs an action soon, on another stack.
     std::function<auto(std::function<auto()->void> action)->void> post;
-    start_hook start;
+    start_call_hook start;
     /// The newest configuration; at offset 0 before the first one.
     std::function<auto()->inventory::snapshot_ptr> snapshot;
     /// Until when it is known to be current.
     std::function<auto()->common::time_point> current_until;
     /// Asks the follower to fetch configuration up to this offset now. May be empty.
-    std::function<auto(common::log_offset wanted)->void> catch_up;
+    std::function<auto(common::log_offset wanted)->void> fetch_configuration;
     /// May be empty.
     std::function<auto(const usage_report& report)->void> report_usage;
 };
@@ -93,14 +93,14 @@
     /// (recorded), what runs goes on. Repeats do nothing.
     virtual auto drain() -> void = 0;
 
-    [[nodiscard]] virtual auto leaving() const -> bool = 0;
+    [[nodiscard]] virtual auto is_leaving() const -> bool = 0;
 
     /// Nothing is queued or running.
-    [[nodiscard]] virtual auto idle() const -> bool = 0;
+    [[nodiscard]] virtual auto is_idle() const -> bool = 0;
 
     /// Ends all runs as `failed` with `server_lost`, when a drain's deadline has passed. Gives
     /// the number of runs that were cut.
-    virtual auto cut() -> std::size_t = 0;
+    virtual auto fail_all_runs() -> std::size_t = 0;
 
     [[nodiscard]] virtual auto counters() const -> core_counters = 0;
 };
--- a/source/core/agent/engine_core.cpp
+++ b/source/core/agent/core_impl.cpp
@@ -1,4 +1,4 @@
-#include "agent/engine_core.hpp"
+#include "agent/core_impl.hpp"
 
 #include <algorithm>
 #include <string>
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "agent/decision_log.hpp"
-#include "agent/gate.hpp"
+#include "agent/request_checks.hpp"
 #include "common/log.hpp"
 
 namespace reedramp::agent {
@@ -32,16 +32,16 @@
 
 auto core::create(core_options options, core_hooks hooks) -> std::shared_ptr<core>
 {
-    return std::make_shared<engine_core>(std::move(options), std::move(hooks));
+    return std::make_shared<core_impl>(std::move(options), std::move(hooks));
 }
 
-engine_core::engine_core(core_options initial, core_hooks given)
+core_impl::core_impl(core_options initial, core_hooks given)
     : options(std::move(initial)), hooks(std::move(given)), table(table_limits(this->options)),
       queue(this->options.queue)
 {
 }
 
-auto engine_core::service() -> messages::agent_service
+auto core_impl::service() -> messages::agent_service
 {
     auto self = this->shared_from_this();
     messages::agent_service offered;
@@ -61,7 +61,7 @@
     return offered;
 }
 
-auto engine_core::cancel(const run_ptr& item) -> void
+auto core_impl::cancel(const run_ptr& item) -> void
 {
     item->outbox.close();
     if (item->end_unless_running()) {
@@ -69,68 +69,68 @@
         why.run = common::execution::not_run;
         this->table.refuse(item->request.key, why, this->hooks.now());
         ++this->cancelled;
-        log_line("cancelled before its start", item->request);
-        this->forget(item->request.key);
-        this->pump();
+        log_decision("cancelled before its start", item->request);
+        this->remove_run(item->request.key);
+        this->start_queued_runs();
         return;
     }
     if (item->request.repeat == repeat_rule::at_most_once) {
         // Stopping it would leave its outcome unknown for good. It goes on, and the answer is kept
         // for the caller's retry. A paused backend server would never end.
         item->resume();
-        log_line("goes on without its caller", item->request);
+        log_decision("goes on without its caller", item->request);
         return;
     }
     auto why = make_error(result_code::cancelled);
     why.run = common::execution::ran;
-    this->fail(item, why);
+    this->fail_run(item, why);
 }
 
-auto engine_core::tick() -> void
+auto core_impl::tick() -> void
 {
     this->table.expire(this->hooks.now());
     this->configuration_changed();
-    this->pump();
+    this->start_queued_runs();
 }
 
-auto engine_core::drain() -> void
+auto core_impl::drain() -> void
 {
-    std::vector<run_ptr> back;
+    std::vector<run_ptr> unstarted;
     {
         const std::lock_guard guard(this->lock);
-        if (this->is_leaving.exchange(true)) {
+        if (this->is_draining.exchange(true)) {
             return;
         }
         for (const auto& entry : this->queue.take_all()) {
             if (const auto found = this->runs.find(entry.key); found != this->runs.end()) {
-                back.push_back(found->second);
+                unstarted.push_back(found->second);
             }
         }
-        for (const auto& [key, item] : this->held) {
-            back.push_back(item);
+        for (const auto& [key, item] : this->awaiting_configuration) {
+            unstarted.push_back(item);
         }
     }
     common::log(
         common::log_part::agent,
         common::log_level::info,
-        "leaving; queued work goes back count=" + std::to_string(back.size()));
-    for (const auto& item : back) {
+        "leaving; queued work goes back count=" + std::to_string(unstarted.size()));
+    for (const auto& item : unstarted) {
         this->refuse(item, make_error(result_code::server_leaving));
     }
 }
 
-auto engine_core::leaving() const -> bool
+auto core_impl::is_leaving() const -> bool
 {
-    return this->is_leaving;
+    return this->is_draining;
 }
 
-auto engine_core::idle() const -> bool
+auto core_impl::is_idle() const -> bool
 {
     const std::lock_guard guard(this->lock);
-    return this->runs.empty() && this->held.empty();
+    return this->runs.empty() && this->awaiting_configuration.empty();
 }
 
-auto engine_core::cut() -> std::size_t
+auto core_impl::fail_all_runs() -> std::size_t
 {
     std::vector<run_ptr> left;
     {
@@ -140,11 +140,11 @@
         }
     }
     return static_cast<std::size_t>(std::count_if(left.begin(), left.end(), [this](auto& item) {
-        return this->fail(item, make_error(result_code::server_lost, "agent had to stop"));
+        return this->fail_run(item, make_error(result_code::server_lost, "agent had to stop"));
     }));
 }
 
-auto engine_core::counters() const -> core_counters
+auto core_impl::counters() const -> core_counters
 {
     core_counters result;
     result.accepted = this->accepted;
@@ -156,11 +156,11 @@
     result.records = this->table.records();
     const std::lock_guard guard(this->lock);
     result.in_flight = this->queue.running();
-    result.queued = this->queue.queued() + this->held.size();
+    result.queued = this->queue.queued() + this->awaiting_configuration.size();
     return result;
 }
 
-auto engine_core::ask(const messages::outcome_query& query) -> messages::outcome_answer
+auto core_impl::ask(const messages::outcome_query& query) -> messages::outcome_answer
 {
     if (query.key.incarnation != this->options.incarnation) {
         // A predecessor may have run it; nobody knows any more.
@@ -169,21 +169,23 @@
         unknown.why->run = common::execution::unknown;
         return unknown;
     }
-    return this->table.ask(query, this->hooks.now());
+    return this->table.query(query, this->hooks.now());
 }
 
-auto engine_core::probe(const messages::probe_request& request) -> messages::probe_answer
+auto core_impl::probe(const messages::probe_request& request) -> messages::probe_answer
 {
     const auto current = this->hooks.snapshot();
     messages::probe_answer answer;
     answer.server = this->options.server;
     answer.incarnation = this->options.incarnation;
-    answer.leaving = this->is_leaving;
+    answer.leaving = this->is_draining;
     answer.configuration = current->offset;
-    answer.serves_version = gate::serves(*current, this->options.server, request.version);
+    answer.serves_version =
+        request_checks::can_serve(*current, this->options.server, request.version);
     const std::lock_guard guard(this->lock);
     answer.in_flight = static_cast<std::uint32_t>(this->queue.running());
-    answer.queued = static_cast<std::uint32_t>(this->queue.queued() + this->held.size());
+    answer.queued =
+        static_cast<std::uint32_t>(this->queue.queued() + this->awaiting_configuration.size());
     answer.estimated_wait = this->queue.estimated_wait();
     return answer;
 }
--- a/source/core/agent/engine_core.hpp
+++ b/source/core/agent/core_impl.hpp
@@ -15,17 +15,17 @@
 
 /// The implementation of `core`. The request table has shards of its own; what is queued or running
 /// is under one lock, since the queue's order is one decision over all of it.
-class engine_core final : public core, public std::enable_shared_from_this<engine_core> {
+class core_impl final : public core, public std::enable_shared_from_this<core_impl> {
 public:
-    engine_core(core_options options, core_hooks hooks);
+    core_impl(core_options options, core_hooks hooks);
 
     auto service() -> messages::agent_service override;
     auto configuration_changed() -> void override;
     auto tick() -> void override;
     auto drain() -> void override;
-    [[nodiscard]] auto leaving() const -> bool override;
-    [[nodiscard]] auto idle() const -> bool override;
-    auto cut() -> std::size_t override;
+    [[nodiscard]] auto is_leaving() const -> bool override;
+    [[nodiscard]] auto is_idle() const -> bool override;
+    auto fail_all_runs() -> std::size_t override;
     [[nodiscard]] auto counters() const -> core_counters override;
 
     /// The caller of this run has left.
@@ -36,40 +36,40 @@
 
     auto accept(messages::run_request request, messages::run_sink sink)
         -> std::shared_ptr<messages::run_handle>;
-    auto take(const run_ptr& item) -> void;
-    auto tell_taken(const run_ptr& item, const messages::outcome_answer& known) -> void;
+    auto admit_run(const run_ptr& item) -> void;
+    auto answer_duplicate(const run_ptr& item, const messages::outcome_answer& known) -> void;
 
     /// Refuses, queues, or holds for a newer configuration.
-    auto decide(const run_ptr& item) -> void;
-    auto hold(const run_ptr& item) -> void;
-    auto give_up_waiting(const messages::run_key& key) -> void;
+    auto check_and_enqueue(const run_ptr& item) -> void;
+    auto wait_for_configuration(const run_ptr& item) -> void;
+    auto on_configuration_timeout(const messages::run_key& key) -> void;
     auto enqueue(const run_ptr& item) -> void;
     auto try_push(const run_ptr& item) -> common::result<void>;
 
     /// Starts what the backend server has room for and refuses what has become hopeless.
-    auto pump() -> void;
-    auto refuse_hopeless() -> void;
+    auto start_queued_runs() -> void;
+    auto refuse_late_runs() -> void;
     auto pop_next() -> run_ptr;
-    auto schedule_check() -> void;
+    auto schedule_queue_check() -> void;
     auto start(const run_ptr& item) -> void;
-    auto check(const messages::run_request& request) const -> common::result<void>;
-    auto events_of(const run_ptr& item) -> backend_events;
-    auto pass_deadline(const messages::run_key& key) -> void;
+    auto check_rules(const messages::run_request& request) const -> common::result<void>;
+    auto make_backend_events(const run_ptr& item) -> backend_events;
+    auto on_deadline(const messages::run_key& key) -> void;
 
     /// Ends what has not been started: recorded first, told second.
     auto refuse(const run_ptr& item, common::error why) -> void;
 
     /// Ends what has been started. False if it had ended.
-    auto conclude(const run_ptr& item, const common::result<void>& outcome) -> bool;
-    auto fail(const run_ptr& item, common::error why) -> bool;
+    auto on_backend_done(const run_ptr& item, const common::result<void>& outcome) -> bool;
+    auto fail_run(const run_ptr& item, common::error why) -> bool;
     auto record_end(const run_ptr& item, const messages::run_event& event, messages::usage used)
         -> void;
     auto record_finished(const run_ptr& item, const messages::finished_event& event) -> void;
     auto record_failed(const run_ptr& item, const messages::failed_event& event) -> void;
-    auto settle(const run_ptr& item, messages::run_event event, messages::usage used) -> void;
-    auto forget(const messages::run_key& key) -> void;
-    auto find(const messages::run_key& key) -> run_ptr;
-    auto tell_refused(const run_ptr& item, const common::error& why) -> void;
+    auto finish_run(const run_ptr& item, messages::run_event event, messages::usage used) -> void;
+    auto remove_run(const messages::run_key& key) -> void;
+    auto find_run(const messages::run_key& key) -> run_ptr;
+    auto send_refusal(const run_ptr& item, const common::error& why) -> void;
 
     auto ask(const messages::outcome_query& query) -> messages::outcome_answer;
     auto probe(const messages::probe_request& request) -> messages::probe_answer;
@@ -83,11 +83,11 @@
     /// Queued and running.
     std::map<messages::run_key, run_ptr> runs;
     /// Waiting for a configuration as new as the entry's.
-    std::map<messages::run_key, run_ptr> held;
+    std::map<messages::run_key, run_ptr> awaiting_configuration;
     /// The earliest timer that is set for the queue.
-    common::time_point check_at = common::never;
+    common::time_point queue_check_at = common::never;
 
-    std::atomic<bool> is_leaving = false;
+    std::atomic<bool> is_draining = false;
     std::atomic<std::uint64_t> accepted = 0;
     std::atomic<std::uint64_t> started = 0;
     std::atomic<std::uint64_t> finished = 0;
--- a/source/core/agent/engine_core_dispatch.cpp
+++ b/source/core/agent/core_impl_dispatch.cpp
@@ -1,6 +1,6 @@
 /// The way of a request from the queue through the backend server to its final event.
 
-#include "agent/engine_core.hpp"
+#include "agent/core_impl.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -19,38 +19,38 @@
 namespace {
 
 /// So that a timer that fires early can't make the queue's check run in a circle.
-constexpr common::duration least_check_delay = std::chrono::milliseconds(1);
+constexpr common::duration min_queue_check_delay = std::chrono::milliseconds(1);
 
 } // namespace
 
-auto engine_core::pump() -> void
+auto core_impl::start_queued_runs() -> void
 {
-    this->refuse_hopeless();
+    this->refuse_late_runs();
     while (const auto next = this->pop_next()) {
         this->start(next);
     }
-    this->schedule_check();
+    this->schedule_queue_check();
 }
 
-auto engine_core::refuse_hopeless() -> void
+auto core_impl::refuse_late_runs() -> void
 {
-    std::vector<run_ptr> hopeless;
+    std::vector<run_ptr> late;
     {
         const std::lock_guard guard(this->lock);
         for (const auto& entry : this->queue.take_hopeless(this->hooks.now())) {
             const auto found = this->runs.find(entry.key);
             if (found != this->runs.end()) {
-                hopeless.push_back(found->second);
+                late.push_back(found->second);
                 this->runs.erase(found);
             }
         }
     }
-    for (const auto& item : hopeless) {
+    for (const auto& item : late) {
         this->refuse(item, make_error(result_code::deadline_too_near, "waited too long"));
     }
 }
 
-auto engine_core::pop_next() -> run_ptr
+auto core_impl::pop_next() -> run_ptr
 {
     const std::lock_guard guard(this->lock);
     while (const auto entry = this->queue.pop(this->hooks.now())) {
@@ -63,17 +63,17 @@
     return nullptr;
 }
 
-auto engine_core::schedule_check() -> void
+auto core_impl::schedule_queue_check() -> void
 {
     common::time_point at;
     {
         const std::lock_guard guard(this->lock);
         const auto wanted = this->queue.next_check();
-        if (wanted >= this->check_at || wanted == common::never) {
+        if (wanted >= this->queue_check_at || wanted == common::never) {
             return;
         }
-        at = std::max(wanted, this->hooks.now() + least_check_delay);
-        this->check_at = at;
+        at = std::max(wanted, this->hooks.now() + min_queue_check_delay);
+        this->queue_check_at = at;
     }
     this->hooks.timer(at, [weak = this->weak_from_this()] {
         const auto self = weak.lock();
@@ -82,17 +82,17 @@
         }
         {
             const std::lock_guard guard(self->lock);
-            self->check_at = common::never;
+            self->queue_check_at = common::never;
         }
-        self->pump();
+        self->start_queued_runs();
     });
 }
 
-auto engine_core::start(const run_ptr& item) -> void
+auto core_impl::start(const run_ptr& item) -> void
 {
     const auto& request = item->request;
     // The version may have been withdrawn while the request was queued.
-    if (auto verdict = this->check(request); !verdict) {
+    if (auto verdict = this->check_rules(request); !verdict) {
         this->refuse(item, verdict.error());
         return;
     }
@@ -101,54 +101,54 @@
         this->refuse(item, call.error());
         return;
     }
-    if (!item->advance(run_phase::queued, run_phase::running)) {
-        this->forget(request.key);
+    if (!item->change_phase(run_phase::queued, run_phase::running)) {
+        this->remove_run(request.key);
         return;
     }
     if (!this->table.start(request.key)) {
-        this->fail(item, make_error(result_code::internal_error, "record is missing"));
+        this->fail_run(item, make_error(result_code::internal_error, "record is missing"));
         return;
     }
     ++this->started;
-    log_line("started", request);
+    log_decision("started", request);
     if (request.repeat == repeat_rule::idempotent) {
         this->hooks.timer(item->deadline, [weak = this->weak_from_this(), key = request.key] {
             if (const auto self = weak.lock()) {
-                self->pass_deadline(key);
+                self->on_deadline(key);
             }
         });
     }
-    item->attach(this->hooks.start(std::move(*call), this->events_of(item)));
+    item->attach_backend(this->hooks.start(std::move(*call), this->make_backend_events(item)));
 }
 
-auto engine_core::events_of(const run_ptr& item) -> backend_events
+auto core_impl::make_backend_events(const run_ptr& item) -> backend_events
 {
     const auto self = this->shared_from_this();
     backend_events events;
     events.head = [item](backend_head head) {
-        item->take_head(std::move(head));
+        item->on_head(std::move(head));
     };
     events.chunk = [self, item](std::string piece) {
-        if (auto read = item->take_chunk(std::move(piece)); !read) {
-            self->fail(item, read.error());
+        if (auto read = item->on_chunk(std::move(piece)); !read) {
+            self->fail_run(item, read.error());
         }
     };
     events.done = [self, item](common::result<void> outcome) {
-        self->conclude(item, outcome);
+        self->on_backend_done(item, outcome);
     };
     return events;
 }
 
-auto engine_core::pass_deadline(const messages::run_key& key) -> void
+auto core_impl::on_deadline(const messages::run_key& key) -> void
 {
-    if (const auto item = this->find(key)) {
+    if (const auto item = this->find_run(key)) {
         auto why = make_error(result_code::deadline_passed);
         why.run = common::execution::ran;
-        this->fail(item, why);
+        this->fail_run(item, why);
     }
 }
 
-auto engine_core::conclude(const run_ptr& item, const common::result<void>& outcome) -> bool
+auto core_impl::on_backend_done(const run_ptr& item, const common::result<void>& outcome) -> bool
 {
     const auto ended = item->end();
     if (!ended) {
@@ -156,14 +156,14 @@
     }
     auto event = item->final_event(outcome);
     auto used = ended->used;
-    if (const auto* whole = std::get_if<messages::finished_event>(&event)) {
-        used = whole->used;
+    if (const auto* finished_answer = std::get_if<messages::finished_event>(&event)) {
+        used = finished_answer->used;
     }
-    this->settle(item, std::move(event), used);
+    this->finish_run(item, std::move(event), used);
     return true;
 }
 
-auto engine_core::fail(const run_ptr& item, common::error why) -> bool
+auto core_impl::fail_run(const run_ptr& item, common::error why) -> bool
 {
     const auto ended = item->end();
     if (!ended) {
@@ -172,11 +172,11 @@
     if (ended->backend) {
         ended->backend->cancel();
     }
-    this->settle(item, messages::failed_event{std::move(why), ended->used}, ended->used);
+    this->finish_run(item, messages::failed_event{std::move(why), ended->used}, ended->used);
     return true;
 }
 
-auto engine_core::settle(const run_ptr& item, messages::run_event event, messages::usage used)
+auto core_impl::finish_run(const run_ptr& item, messages::run_event event, messages::usage used)
     -> void
 {
     const auto& request = item->request;
@@ -184,68 +184,68 @@
     if (this->hooks.report_usage) {
         this->hooks.report_usage({request.key, request.organisation, request.version, used});
     }
-    item->outbox.put(std::move(event));
-    this->forget(request.key);
-    this->pump();
+    item->outbox.send(std::move(event));
+    this->remove_run(request.key);
+    this->start_queued_runs();
 }
 
-auto engine_core::record_end(
+auto core_impl::record_end(
     const run_ptr& item, const messages::run_event& event, messages::usage used) -> void
 {
     const auto& request = item->request;
-    if (const auto* whole = std::get_if<messages::finished_event>(&event)) {
-        this->record_finished(item, *whole);
+    if (const auto* finished_answer = std::get_if<messages::finished_event>(&event)) {
+        this->record_finished(item, *finished_answer);
     }
-    else if (const auto* broken = std::get_if<messages::failed_event>(&event)) {
-        this->record_failed(item, *broken);
+    else if (const auto* failure = std::get_if<messages::failed_event>(&event)) {
+        this->record_failed(item, *failure);
     }
-    else if (const auto* away = std::get_if<messages::refused_event>(&event)) {
+    else if (const auto* refusal = std::get_if<messages::refused_event>(&event)) {
         ++this->refused;
-        this->table.refuse(request.key, away->why, this->hooks.now());
-        log_line("refused", request, code_text(away->why));
+        this->table.refuse(request.key, refusal->why, this->hooks.now());
+        log_decision("refused", request, error_fields(refusal->why));
     }
     const std::lock_guard guard(this->lock);
-    this->queue.finish(request.key, spent_cost(request, used), this->hooks.now());
+    this->queue.finish(request.key, actual_cost(request, used), this->hooks.now());
 }
 
-auto engine_core::record_finished(const run_ptr& item, const messages::finished_event& event)
-    -> void
+auto core_impl::record_finished(const run_ptr& item, const messages::finished_event& event) -> void
 {
     ++this->finished;
     std::optional<messages::finished_event> kept;
     if (item->request.repeat == repeat_rule::at_most_once) {
-        kept = item->kept_form(event);
+        kept = item->answer_for_retry(event);
     }
     this->table.finish(item->request.key, event.used, std::move(kept), this->hooks.now());
-    log_line(
+    log_decision(
         "finished",
         item->request,
         " status=" + std::to_string(event.http_status) +
             " tokens=" + std::to_string(event.used.completion_tokens.value()));
 }
 
-auto engine_core::record_failed(const run_ptr& item, const messages::failed_event& event) -> void
+auto core_impl::record_failed(const run_ptr& item, const messages::failed_event& event) -> void
 {
     const auto left = event.why.code == result_code::cancelled;
     ++(left ? this->cancelled : this->failed);
     this->table.fail(item->request.key, event.why, event.used, this->hooks.now());
-    log_line(
+    log_decision(
         left ? "cancelled" : "failed",
         item->request,
-        code_text(event.why) + " tokens=" + std::to_string(event.used.completion_tokens.value()));
+        error_fields(event.why) +
+            " tokens=" + std::to_string(event.used.completion_tokens.value()));
 }
 
-auto engine_core::forget(const messages::run_key& key) -> void
+auto core_impl::remove_run(const messages::run_key& key) -> void
 {
     const std::lock_guard guard(this->lock);
-    this->held.erase(key);
+    this->awaiting_configuration.erase(key);
     this->runs.erase(key);
     if (!this->queue.remove(key)) {
         this->queue.finish(key, {}, this->hooks.now());
     }
 }
 
-auto engine_core::find(const messages::run_key& key) -> run_ptr
+auto core_impl::find_run(const messages::run_key& key) -> run_ptr
 {
     const std::lock_guard guard(this->lock);
     const auto found = this->runs.find(key);
--- a/source/core/agent/decision_log.cpp
+++ b/source/core/agent/decision_log.cpp
@@ -4,7 +4,7 @@
 
 namespace reedramp::agent {
 
-auto log_line(const char* what, const messages::run_request& request, const std::string& rest)
+auto log_decision(const char* what, const messages::run_request& request, const std::string& rest)
     -> void
 {
     const auto& target =
@@ -17,7 +17,7 @@
             " organisation=" + request.organisation.value() + " target=" + target + rest);
 }
 
-auto code_text(const common::error& why) -> std::string
+auto error_fields(const common::error& why) -> std::string
 {
     auto text = " code=" + std::string(common::row_of(why.code).name);
     if (!why.detail.empty()) {
--- a/source/core/agent/decision_log.hpp
+++ b/source/core/agent/decision_log.hpp
@@ -9,10 +9,10 @@
 namespace reedramp::agent {
 
 /// "<what> request=... attempt=... organisation=... target=...<rest>".
-auto log_line(const char* what, const messages::run_request& request, const std::string& rest = {})
-    -> void;
+auto log_decision(
+    const char* what, const messages::run_request& request, const std::string& rest = {}) -> void;
 
 /// " code=<name>", and " why=<detail>" if there is one.
-auto code_text(const common::error& why) -> std::string;
+auto error_fields(const common::error& why) -> std::string;
 
 } // namespace reedramp::agent
--- a/source/core/agent/engine_protocol.cpp
+++ b/source/core/agent/engine_protocol.cpp
@@ -14,9 +14,9 @@
 
 constexpr std::string_view data_prefix = "data:";
 constexpr std::string_view end_marker = "[DONE]";
-constexpr auto resume_member = "resume_after_tokens";
+constexpr auto resume_field = "resume_after_tokens";
 
-auto parse_object(std::string_view text) -> std::optional<json::object>
+auto parse_json_object(std::string_view text) -> std::optional<json::object>
 {
     json::error_code problem;
     auto value = json::parse({text.data(), text.size()}, problem);
@@ -77,9 +77,9 @@
 
 /// Asks for the rest of an answer, in both ways that engines know: one skips the tokens itself, the
 /// other continues a last message of the assistant.
-auto continue_answer(json::object& body, const messages::run_request& request) -> void
+auto request_continuation(json::object& body, const messages::run_request& request) -> void
 {
-    body[resume_member] = request.sent_tokens.value();
+    body[resume_field] = request.sent_tokens.value();
     auto* messages = body.contains("messages") ? body["messages"].if_array() : nullptr;
     if (messages == nullptr) {
         return;
@@ -93,7 +93,7 @@
 
 auto build_engine_body(const messages::run_request& request) -> common::result<std::string>
 {
-    auto body = parse_object(request.body);
+    auto body = parse_json_object(request.body);
     if (!body) {
         return failure(result_code::malformed_json, "body is not a JSON object");
     }
@@ -107,16 +107,16 @@
         (*body)["max_tokens"] = request.max_tokens.value();
     }
     // Where the answer starts is the entry's to say, never the caller's.
-    body->erase(resume_member);
+    body->erase(resume_field);
     if (request.sent_tokens.value() > 0) {
-        continue_answer(*body, request);
+        request_continuation(*body, request);
     }
     return json::serialize(*body);
 }
 
 auto parse_engine_answer(std::string_view body) -> common::result<engine_answer>
 {
-    const auto answer = parse_object(body);
+    const auto answer = parse_json_object(body);
     const auto* choice = answer ? first_choice(*answer) : nullptr;
     const auto* message = choice == nullptr ? nullptr : object_member(*choice, "message");
     if (message == nullptr) {
@@ -148,47 +148,47 @@
     return json::serialize(whole);
 }
 
-auto stream_reader::feed(std::string_view chunk) -> common::result<stream_step>
+auto stream_reader::feed(std::string_view chunk) -> common::result<stream_content>
 {
-    stream_step step;
-    this->partial.append(chunk);
+    stream_content content;
+    this->unparsed.append(chunk);
     std::size_t start = 0;
-    auto end = this->partial.find('\n');
-    while (!this->broken && end != std::string::npos) {
-        const auto line = std::string_view(this->partial).substr(start, end - start);
-        this->broken = !this->read_line(line, step);
+    auto end = this->unparsed.find('\n');
+    while (!this->is_broken && end != std::string::npos) {
+        const auto line = std::string_view(this->unparsed).substr(start, end - start);
+        this->is_broken = !this->read_line(line, content);
         start = end + 1;
-        end = this->partial.find('\n', start);
+        end = this->unparsed.find('\n', start);
     }
-    this->partial.erase(0, start);
-    this->broken = this->broken || this->partial.size() > line_limit;
-    if (this->broken) {
-        this->partial.clear();
+    this->unparsed.erase(0, start);
+    this->is_broken = this->is_broken || this->unparsed.size() > line_limit;
+    if (this->is_broken) {
+        this->unparsed.clear();
         return failure(result_code::server_failed, "engine's stream cannot be read");
     }
-    return step;
+    return content;
 }
 
-auto stream_reader::read_line(std::string_view line, stream_step& step) -> bool
+auto stream_reader::read_line(std::string_view line, stream_content& content) -> bool
 {
     if (!line.empty() && line.back() == '\r') {
         line.remove_suffix(1);
     }
     // Comments, empty lines and other fields of server-sent events carry nothing for us.
-    if (this->ended || !line.starts_with(data_prefix)) {
+    if (this->is_ended || !line.starts_with(data_prefix)) {
         return true;
     }
     const auto data = trim_left(line.substr(data_prefix.size()));
     if (data == end_marker) {
-        this->ended = true;
+        this->is_ended = true;
         return true;
     }
-    return this->read_chunk(data, step);
+    return this->read_chunk(data, content);
 }
 
-auto stream_reader::read_chunk(std::string_view text, stream_step& step) -> bool
+auto stream_reader::read_chunk(std::string_view text, stream_content& content) -> bool
 {
-    const auto chunk = parse_object(text);
+    const auto chunk = parse_json_object(text);
     if (!chunk || chunk->contains("error")) {
         return false;
     }
@@ -200,24 +200,24 @@
         return true;
     }
     if (auto why = text_member(*choice, "finish_reason"); !why.empty()) {
-        this->reason = std::move(why);
+        this->last_finish_reason = std::move(why);
     }
     const auto* delta = object_member(*choice, "delta");
-    const auto content = delta == nullptr ? std::string() : text_member(*delta, "content");
-    if (!content.empty()) {
-        step.text += content;
-        step.tokens += 1;
-        this->counted += 1;
+    const auto added_text = delta == nullptr ? std::string() : text_member(*delta, "content");
+    if (!added_text.empty()) {
+        content.text += added_text;
+        content.tokens += 1;
+        this->counted_tokens += 1;
     }
     return true;
 }
 
-auto stream_reader::used() const -> messages::usage
+auto stream_reader::used_tokens() const -> messages::usage
 {
     if (this->reported) {
         return *this->reported;
     }
-    return {{}, common::token_count{this->counted}};
+    return {{}, common::token_count{this->counted_tokens}};
 }
 
 } // namespace reedramp::agent
--- a/source/core/agent/engine_protocol.hpp
+++ b/source/core/agent/engine_protocol.hpp
@@ -33,7 +33,7 @@
 auto build_engine_answer(const engine_answer& answer, std::string_view model) -> std::string;
 
 /// What one piece of the stream brought.
-struct stream_step {
+struct stream_content {
     std::string text;
     std::uint32_t tokens = 0;
 };
@@ -47,26 +47,29 @@
     static constexpr std::size_t line_limit = std::size_t{1024} * 1024;
 
     /// All tokens of this chunk as one step, so that they travel in one message.
-    auto feed(std::string_view chunk) -> common::result<stream_step>;
+    auto feed(std::string_view chunk) -> common::result<stream_content>;
 
     /// The end marker has come. Without it, an ended connection means a cut answer.
-    [[nodiscard]] auto whole() const -> bool { return this->ended; }
+    [[nodiscard]] auto is_complete() const -> bool { return this->is_ended; }
 
     /// Usage of the last chunk, else what was counted.
-    [[nodiscard]] auto used() const -> messages::usage;
+    [[nodiscard]] auto used_tokens() const -> messages::usage;
 
-    [[nodiscard]] auto finish_reason() const -> const std::string& { return this->reason; }
+    [[nodiscard]] auto finish_reason() const -> const std::string&
+    {
+        return this->last_finish_reason;
+    }
 
 private:
-    auto read_line(std::string_view line, stream_step& step) -> bool;
-    auto read_chunk(std::string_view json, stream_step& step) -> bool;
+    auto read_line(std::string_view line, stream_content& content) -> bool;
+    auto read_chunk(std::string_view json, stream_content& content) -> bool;
 
-    std::string partial;
-    std::string reason;
+    std::string unparsed;
+    std::string last_finish_reason;
     std::optional<messages::usage> reported;
-    std::uint64_t counted = 0;
-    bool ended = false;
-    bool broken = false;
+    std::uint64_t counted_tokens = 0;
+    bool is_ended = false;
+    bool is_broken = false;
 };
 
 } // namespace reedramp::agent
--- a/source/core/agent/event_outbox.cpp
+++ b/source/core/agent/event_outbox.cpp
@@ -7,33 +7,33 @@
 
 event_outbox::event_outbox(messages::run_sink target) : sink(std::move(target)) {}
 
-auto event_outbox::push(messages::run_event event) -> void
+auto event_outbox::append(messages::run_event event) -> void
 {
     const auto* tokens = std::get_if<messages::tokens_event>(&event);
-    this->ended = tokens == nullptr;
-    auto* last = this->waiting.empty() ? nullptr
-                                       : std::get_if<messages::tokens_event>(&this->waiting.back());
+    this->has_final_event = tokens == nullptr;
+    auto* last = this->pending.empty() ? nullptr
+                                       : std::get_if<messages::tokens_event>(&this->pending.back());
     if (tokens != nullptr && last != nullptr) {
         // Tokens that the reader has not taken yet travel in one message.
         last->count += tokens->count;
         last->text += tokens->text;
         return;
     }
-    this->waiting.push_back(std::move(event));
+    this->pending.push_back(std::move(event));
 }
 
-auto event_outbox::put(messages::run_event event) -> void
+auto event_outbox::send(messages::run_event event) -> void
 {
     {
         const std::lock_guard guard(this->lock);
-        if (this->ended || this->closed) {
+        if (this->has_final_event || this->is_closed) {
             return;
         }
-        this->push(std::move(event));
-        if (this->busy) {
+        this->append(std::move(event));
+        if (this->is_delivering) {
             return;
         }
-        this->busy = true;
+        this->is_delivering = true;
     }
     this->deliver();
 }
@@ -42,11 +42,11 @@
 {
     messages::run_sink dropped;
     const std::lock_guard guard(this->lock);
-    if (!this->waiting.empty()) {
+    if (!this->pending.empty()) {
         return false;
     }
-    this->busy = false;
-    this->drop_sink_if_over(dropped);
+    this->is_delivering = false;
+    this->drop_sink_if_done(dropped);
     return true;
 }
 
@@ -59,10 +59,10 @@
 {
     messages::run_sink dropped;
     const std::lock_guard guard(this->lock);
-    this->closed = true;
-    this->waiting.clear();
-    if (!this->busy) {
-        this->drop_sink_if_over(dropped);
+    this->is_closed = true;
+    this->pending.clear();
+    if (!this->is_delivering) {
+        this->drop_sink_if_done(dropped);
     }
 }
 
@@ -74,21 +74,21 @@
         messages::run_event next;
         {
             const std::lock_guard guard(this->lock);
-            if (this->waiting.empty()) {
-                this->busy = false;
-                this->drop_sink_if_over(dropped);
+            if (this->pending.empty()) {
+                this->is_delivering = false;
+                this->drop_sink_if_done(dropped);
                 return;
             }
-            next = std::move(this->waiting.front());
-            this->waiting.pop_front();
+            next = std::move(this->pending.front());
+            this->pending.pop_front();
         }
         this->sink(std::move(next));
     }
 }
 
-auto event_outbox::drop_sink_if_over(messages::run_sink& dropped) -> void
+auto event_outbox::drop_sink_if_done(messages::run_sink& dropped) -> void
 {
-    if (this->ended || this->closed) {
+    if (this->has_final_event || this->is_closed) {
         dropped.swap(this->sink);
     }
 }
--- a/source/core/agent/event_outbox.hpp
+++ b/source/core/agent/event_outbox.hpp
@@ -19,7 +19,7 @@
     /// Holds events back until `release`, since a reader must not be called inside `run`.
     explicit event_outbox(messages::run_sink sink);
 
-    auto put(messages::run_event event) -> void;
+    auto send(messages::run_event event) -> void;
 
     /// Ends the hold if nothing waits, else leaves it and gives false: then call `release` from
     /// another stack.
@@ -30,19 +30,19 @@
     auto close() -> void;
 
 private:
-    auto push(messages::run_event event) -> void;
+    auto append(messages::run_event event) -> void;
     auto deliver() -> void;
     /// Lets go of the reader once nothing more can come: it may hold this run's handle, and the two
     /// would keep each other for ever.
-    auto drop_sink_if_over(messages::run_sink& dropped) -> void;
+    auto drop_sink_if_done(messages::run_sink& dropped) -> void;
 
     messages::run_sink sink;
     std::mutex lock;
-    std::deque<messages::run_event> waiting;
+    std::deque<messages::run_event> pending;
     /// Some thread is delivering, or the hold is on.
-    bool busy = true;
-    bool ended = false;
-    bool closed = false;
+    bool is_delivering = true;
+    bool has_final_event = false;
+    bool is_closed = false;
 };
 
 } // namespace reedramp::agent
--- a/source/core/agent/registration.cpp
+++ b/source/core/agent/registration.cpp
@@ -13,9 +13,9 @@
 constexpr common::duration retry_delay = std::chrono::milliseconds(200);
 
 /// One registration under way; kept alive by its timers and the log's answers.
-class attempt final : public std::enable_shared_from_this<attempt> {
+class registration_attempt final : public std::enable_shared_from_this<registration_attempt> {
 public:
-    attempt(
+    registration_attempt(
         registration_hooks given,
         std::string text,
         std::function<auto(common::incarnation_id incarnation)->void> when_done)
@@ -41,12 +41,12 @@
                 self->finish(common::incarnation_id{answer->value()}, "registered");
                 return;
             }
-            self->retry_later();
+            self->schedule_retry();
         };
         this->hooks.log.append(platform::streams::registrations, this->data, std::move(answered));
     }
 
-    auto retry_later() -> void
+    auto schedule_retry() -> void
     {
         this->hooks.timer(this->hooks.now() + retry_delay, [self = this->shared_from_this()] {
             if (!self->is_finished()) {
@@ -101,7 +101,8 @@
     common::time_point deadline,
     std::function<auto(common::incarnation_id incarnation)->void> done) -> void
 {
-    std::make_shared<attempt>(std::move(hooks), format_registration(record), std::move(done))
+    std::make_shared<registration_attempt>(
+        std::move(hooks), format_registration(record), std::move(done))
         ->start(deadline);
 }
 
--- a/source/core/agent/registration_tail.cpp
+++ b/source/core/agent/registration_watcher.cpp
@@ -1,4 +1,4 @@
-#include "agent/registration_tail.hpp"
+#include "agent/registration_watcher.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -7,13 +7,13 @@
 
 namespace reedramp::agent {
 
-registration_tail::registration_tail(
+registration_watcher::registration_watcher(
     common::server_id whose, std::string text, common::log_offset own)
-    : server(std::move(whose)), own_text(std::move(text)), cursor(own), newest(own)
+    : server(std::move(whose)), own_record(std::move(text)), cursor(own), newest_registration(own)
 {
 }
 
-auto registration_tail::take(const platform::read_answer& answer)
+auto registration_watcher::apply(const platform::read_answer& answer)
     -> common::result<common::log_offset>
 {
     if (answer.head < this->cursor) {
@@ -23,19 +23,19 @@
         this->cursor = std::max(this->cursor, item.offset);
         // A copy of the own record is no other agent's: the append was repeated when its answer
         // was lost.
-        if (item.data == this->own_text) {
+        if (item.data == this->own_record) {
             continue;
         }
         const auto fields = platform::parse_object(item.data);
         const auto named = fields ? platform::string_field(*fields, "server") : std::nullopt;
         if (named == this->server.value()) {
-            this->newest = std::max(this->newest, item.offset);
+            this->newest_registration = std::max(this->newest_registration, item.offset);
         }
     }
     if (this->cursor < answer.head) {
         return common::log_offset{};
     }
-    return this->newest;
+    return this->newest_registration;
 }
 
 } // namespace reedramp::agent
--- a/source/core/agent/gate.cpp
+++ b/source/core/agent/request_checks.cpp
@@ -1,8 +1,8 @@
-#include "agent/gate.hpp"
+#include "agent/request_checks.hpp"
 
 #include <algorithm>
 
-namespace reedramp::agent::gate {
+namespace reedramp::agent::request_checks {
 
 using common::failure;
 using common::result_code;
@@ -17,7 +17,7 @@
     return found == current.servers.end() ? nullptr : &found->second;
 }
 
-auto lists(const inventory::backend_server& server, const common::version_id& version) -> bool
+auto has_version(const inventory::backend_server& server, const common::version_id& version) -> bool
 {
     return std::find(server.versions.begin(), server.versions.end(), version) !=
            server.versions.end();
@@ -49,7 +49,7 @@
     if (!rules::allowed(current, owner, **version)) {
         return failure(result_code::organisation_not_allowed, "version");
     }
-    if (server == nullptr || !lists(*server, request.version)) {
+    if (server == nullptr || !has_version(*server, request.version)) {
         return failure(result_code::no_capacity, "version is not served here");
     }
     return {};
@@ -75,7 +75,8 @@
 
 } // namespace
 
-auto is_behind(const messages::run_request& request, const inventory::state& current) -> bool
+auto needs_newer_configuration(
+    const messages::run_request& request, const inventory::state& current) -> bool
 {
     return current.offset < request.configuration;
 }
@@ -112,7 +113,7 @@
     return own == messages::repeat_rule::at_most_once ? own : request.repeat;
 }
 
-auto serves(
+auto can_serve(
     const inventory::state& current,
     const common::server_id& server,
     const common::version_id& version) -> bool
@@ -124,7 +125,7 @@
     if (version.value().empty()) {
         return here->kind == inventory::server_kind::service;
     }
-    return lists(*here, version) && !current.is_withdrawn(version);
+    return has_version(*here, version) && !current.is_withdrawn(version);
 }
 
-} // namespace reedramp::agent::gate
+} // namespace reedramp::agent::request_checks
--- a/source/core/agent/gate.hpp
+++ b/source/core/agent/request_checks.hpp
@@ -8,11 +8,12 @@
 
 /// The last look at the rules before a backend server gets a request. An entry may decide by an
 /// older configuration, or be wrong; what this agent knows counts as well.
-namespace reedramp::agent::gate {
+namespace reedramp::agent::request_checks {
 
 /// The entry decided by a newer configuration than this one. The agent must not run the request by
 /// its older one: a withdrawal may be what it lacks.
-auto is_behind(const messages::run_request& request, const inventory::state& current) -> bool;
+auto needs_newer_configuration(
+    const messages::run_request& request, const inventory::state& current) -> bool;
 
 /// Whether the rules let this backend server run the request. Errors, all `not_run`: `not_ready`,
 /// `organisation_not_allowed`, `unknown_model`, `version_withdrawn`, `stale_configuration`,
@@ -29,9 +30,9 @@
 
 /// Whether new work of this version may come to this backend server. An empty version asks about a
 /// plain service.
-auto serves(
+auto can_serve(
     const inventory::state& current,
     const common::server_id& server,
     const common::version_id& version) -> bool;
 
-} // namespace reedramp::agent::gate
+} // namespace reedramp::agent::request_checks
--- a/source/core/agent/request_table.cpp
+++ b/source/core/agent/request_table.cpp
@@ -42,29 +42,30 @@
     return found == all.end() ? nullptr : &*found;
 }
 
-auto request_table::describe(const record& known) -> messages::outcome_answer
+auto request_table::describe(const record& found_record) -> messages::outcome_answer
 {
     messages::outcome_answer answer;
-    answer.state = known.state;
-    answer.used = known.used;
-    if (known.kept) {
-        answer.finished = *known.kept;
+    answer.state = found_record.state;
+    answer.used = found_record.used;
+    if (found_record.stored_answer) {
+        answer.finished = *found_record.stored_answer;
     }
-    if (known.state == outcome_state::refused || known.state == outcome_state::failed) {
-        answer.why = common::make_error(known.code);
-        answer.why->run = known.run;
+    if (found_record.state == outcome_state::refused ||
+        found_record.state == outcome_state::failed) {
+        answer.why = common::make_error(found_record.code);
+        answer.why->run = found_record.run;
     }
     return answer;
 }
 
-auto request_table::blocker(const attempts& all) -> const record*
+auto request_table::find_unrefused(const attempts& all) -> const record*
 {
     const auto found = std::find_if(
         all.begin(), all.end(), [](const record& one) { return !is_refused(one.state); });
     return found == all.end() ? nullptr : &*found;
 }
 
-auto request_table::take_room(bool for_refusal) -> bool
+auto request_table::reserve_record(bool for_refusal) -> bool
 {
     const auto bound = this->limits.records + (for_refusal ? this->limits.reserve : 0);
     auto seen = this->used_records.load();
@@ -76,7 +77,7 @@
     return false;
 }
 
-auto request_table::refusal(common::attempt_number attempt, result_code code) -> record
+auto request_table::make_refusal(common::attempt_number attempt, result_code code) -> record
 {
     record made;
     made.attempt = attempt;
@@ -86,45 +87,46 @@
     return made;
 }
 
-auto request_table::existing(const attempts& all, const messages::run_key& key, repeat_rule repeat)
+auto request_table::find_decision(
+    const attempts& all, const messages::run_key& key, repeat_rule repeat)
     -> std::optional<admission>
 {
-    if (const auto* known = find(all, key.attempt)) {
-        if (is_refused(known->state)) {
-            return turned_away{common::make_error(result_code::already_refused)};
+    if (const auto* found_record = find(all, key.attempt)) {
+        if (is_refused(found_record->state)) {
+            return rejected{common::make_error(result_code::already_refused)};
         }
-        return already_taken{describe(*known)};
+        return duplicate{describe(*found_record)};
     }
-    const auto* earlier = repeat == repeat_rule::at_most_once ? blocker(all) : nullptr;
+    const auto* earlier = repeat == repeat_rule::at_most_once ? find_unrefused(all) : nullptr;
     if (earlier != nullptr) {
-        return already_taken{describe(*earlier)};
+        return duplicate{describe(*earlier)};
     }
     return std::nullopt;
 }
 
-auto request_table::add(
+auto request_table::add_attempt(
     attempts& all, const messages::run_key& key, repeat_rule repeat, common::time_point now)
     -> admission
 {
-    const auto late = std::any_of(
+    const auto is_late_copy = std::any_of(
         all.begin(), all.end(), [&key](const record& one) { return one.attempt > key.attempt; });
-    const auto no_room_for_answer =
+    const auto is_answer_store_full =
         repeat == repeat_rule::at_most_once && this->used_bytes >= this->limits.kept_bytes;
-    if (!late && !no_room_for_answer && this->take_room(false)) {
+    if (!is_late_copy && !is_answer_store_full && this->reserve_record(false)) {
         record made;
         made.attempt = key.attempt;
         all.push_back(std::move(made));
         return admitted{};
     }
-    if (this->take_room(true)) {
-        const auto code = late ? result_code::already_refused : result_code::no_capacity;
-        all.push_back(refusal(key.attempt, code));
+    if (this->reserve_record(true)) {
+        const auto code = is_late_copy ? result_code::already_refused : result_code::no_capacity;
+        all.push_back(make_refusal(key.attempt, code));
         this->expire_later(key, now);
-        return turned_away{common::make_error(code, late ? "late copy" : "records are full")};
+        return rejected{common::make_error(code, is_late_copy ? "late copy" : "records are full")};
     }
     // A refusal that is not recorded would not hold against a second copy, so it is not promised:
     // the answer is "unknown".
-    return already_taken{records_full()};
+    return duplicate{records_full()};
 }
 
 auto request_table::admit(const messages::run_key& key, repeat_rule repeat, common::time_point now)
@@ -132,14 +134,14 @@
 {
     return this->by_request.with_shard(key.request, [&](auto& entries) {
         auto& all = entries[key.request];
-        if (auto known = existing(all, key, repeat)) {
-            return std::move(*known);
+        if (auto decision = find_decision(all, key, repeat)) {
+            return std::move(*decision);
         }
-        auto decided = this->add(all, key, repeat, now);
+        auto decision = this->add_attempt(all, key, repeat, now);
         if (all.empty()) {
             entries.erase(key.request);
         }
-        return decided;
+        return decision;
     });
 }
 
@@ -147,11 +149,11 @@
 {
     return this->by_request.with_shard(key.request, [&key](auto& entries) {
         const auto found = entries.find(key.request);
-        auto* known = found == entries.end() ? nullptr : find(found->second, key.attempt);
-        if (known == nullptr || known->state != outcome_state::queued) {
+        auto* found_record = found == entries.end() ? nullptr : find(found->second, key.attempt);
+        if (found_record == nullptr || found_record->state != outcome_state::queued) {
             return false;
         }
-        known->state = outcome_state::running;
+        found_record->state = outcome_state::running;
         return true;
     });
 }
@@ -161,13 +163,14 @@
 {
     this->by_request.with_shard(key.request, [&](auto& entries) {
         const auto found = entries.find(key.request);
-        auto* known = found == entries.end() ? nullptr : find(found->second, key.attempt);
-        const auto open = known != nullptr && (known->state == outcome_state::queued ||
-                                               known->state == outcome_state::running);
-        if (!open) {
+        auto* found_record = found == entries.end() ? nullptr : find(found->second, key.attempt);
+        const auto is_open =
+            found_record != nullptr && (found_record->state == outcome_state::queued ||
+                                        found_record->state == outcome_state::running);
+        if (!is_open) {
             return;
         }
-        change(*known);
+        change(*found_record);
         this->expire_later(key, now);
     });
 }
@@ -175,25 +178,25 @@
 auto request_table::refuse(const messages::run_key& key, common::error why, common::time_point now)
     -> void
 {
-    this->end(key, now, [&why](record& known) {
-        known.state = outcome_state::refused;
-        known.code = why.code;
-        known.run = common::execution::not_run;
+    this->end(key, now, [&why](record& found_record) {
+        found_record.state = outcome_state::refused;
+        found_record.code = why.code;
+        found_record.run = common::execution::not_run;
     });
 }
 
 auto request_table::finish(
     const messages::run_key& key,
     messages::usage used,
-    std::optional<messages::finished_event> kept,
+    std::optional<messages::finished_event> stored_answer,
     common::time_point now) -> void
 {
-    this->end(key, now, [&](record& known) {
-        known.state = outcome_state::finished;
-        known.run = common::execution::ran;
-        known.used = used;
-        if (kept) {
-            known.kept = this->keep(std::move(*kept));
+    this->end(key, now, [&](record& found_record) {
+        found_record.state = outcome_state::finished;
+        found_record.run = common::execution::ran;
+        found_record.used = used;
+        if (stored_answer) {
+            found_record.stored_answer = this->store_answer(std::move(*stored_answer));
         }
     });
 }
@@ -202,15 +205,15 @@
     const messages::run_key& key, common::error why, messages::usage used, common::time_point now)
     -> void
 {
-    this->end(key, now, [&](record& known) {
-        known.state = outcome_state::failed;
-        known.code = why.code;
-        known.run = why.run;
-        known.used = used;
+    this->end(key, now, [&](record& found_record) {
+        found_record.state = outcome_state::failed;
+        found_record.code = why.code;
+        found_record.run = why.run;
+        found_record.used = used;
     });
 }
 
-auto request_table::keep(messages::finished_event answer)
+auto request_table::store_answer(messages::finished_event answer)
     -> std::shared_ptr<const messages::finished_event>
 {
     const auto size = size_of(answer);
@@ -221,23 +224,23 @@
     return std::make_shared<const messages::finished_event>(std::move(answer));
 }
 
-auto request_table::ask(const messages::outcome_query& query, common::time_point now)
+auto request_table::query(const messages::outcome_query& query, common::time_point now)
     -> messages::outcome_answer
 {
     const auto& key = query.key;
     return this->by_request.with_shard(key.request, [&](auto& entries) {
         const auto found = entries.find(key.request);
-        auto* known = found == entries.end() ? nullptr : find(found->second, key.attempt);
-        if (known != nullptr) {
-            return describe(*known);
+        auto* found_record = found == entries.end() ? nullptr : find(found->second, key.attempt);
+        if (found_record != nullptr) {
+            return describe(*found_record);
         }
         if (!query.refuse_if_unknown) {
             return messages::outcome_answer{};
         }
-        if (!this->take_room(true)) {
+        if (!this->reserve_record(true)) {
             return records_full();
         }
-        auto made = refusal(key.attempt, result_code::already_refused);
+        auto made = make_refusal(key.attempt, result_code::already_refused);
         entries[key.request].push_back(made);
         this->expire_later(key, now);
         return describe(made);
@@ -250,7 +253,7 @@
     this->expiries.push_back({now + this->limits.window, key.request, key.attempt});
 }
 
-auto request_table::forget(const expiry& due) -> void
+auto request_table::remove(const expiry& due) -> void
 {
     this->by_request.with_shard(due.request, [&](auto& entries) {
         const auto found = entries.find(due.request);
@@ -258,14 +261,14 @@
             return;
         }
         auto& all = found->second;
-        const auto* known = find(all, due.attempt);
-        if (known == nullptr) {
+        const auto* found_record = find(all, due.attempt);
+        if (found_record == nullptr) {
             return;
         }
-        if (known->kept) {
-            this->used_bytes -= size_of(*known->kept);
+        if (found_record->stored_answer) {
+            this->used_bytes -= size_of(*found_record->stored_answer);
         }
-        all.erase(all.begin() + (known - all.data()));
+        all.erase(all.begin() + (found_record - all.data()));
         this->used_records -= 1;
         if (all.empty()) {
             entries.erase(found);
@@ -284,7 +287,7 @@
         }
     }
     for (const auto& one : due) {
-        this->forget(one);
+        this->remove(one);
     }
 }
 
--- a/source/core/agent/request_table.hpp
+++ b/source/core/agent/request_table.hpp
@@ -34,16 +34,16 @@
 struct admitted {};
 
 /// It never runs; the refusal is recorded.
-struct turned_away {
+struct rejected {
     common::error why;
 };
 
 /// It does not run because of this copy, but another copy ran, runs, or may have run.
-struct already_taken {
-    messages::outcome_answer known;
+struct duplicate {
+    messages::outcome_answer outcome;
 };
 
-using admission = std::variant<admitted, turned_away, already_taken>;
+using admission = std::variant<admitted, rejected, duplicate>;
 
 /// Remembers each request id and attempt before it runs, and how it ended.
 ///
@@ -68,12 +68,12 @@
     /// Ends a key as refused, from queued, or from running when the backend server got no byte.
     auto refuse(const messages::run_key& key, common::error why, common::time_point now) -> void;
 
-    /// Ends a running key. `kept`: the answer of an at-most-once request, for retries in the
-    /// window.
+    /// Ends a running key. `stored_answer`: the answer of an at-most-once request, for retries in
+    /// the window.
     auto finish(
         const messages::run_key& key,
         messages::usage used,
-        std::optional<messages::finished_event> kept,
+        std::optional<messages::finished_event> stored_answer,
         common::time_point now) -> void;
 
     auto fail(
@@ -83,7 +83,7 @@
         common::time_point now) -> void;
 
     /// What became of the key. With `refuse_if_unknown` an unknown key is recorded as refused.
-    auto ask(const messages::outcome_query& query, common::time_point now)
+    auto query(const messages::outcome_query& query, common::time_point now)
         -> messages::outcome_answer;
 
     /// Forgets records whose window has passed.
@@ -100,7 +100,7 @@
         common::result_code code = common::result_code::ok;
         common::execution run = common::execution::unknown;
         messages::usage used;
-        std::shared_ptr<const messages::finished_event> kept;
+        std::shared_ptr<const messages::finished_event> stored_answer;
     };
 
     struct expiry {
@@ -114,18 +114,18 @@
     /// Null if there is none. `Attempts` is `attempts`, const or not.
     template <typename Attempts>
     static auto find(Attempts& all, common::attempt_number attempt) -> decltype(all.data());
-    static auto refusal(common::attempt_number attempt, common::result_code code) -> record;
-    static auto describe(const record& known) -> messages::outcome_answer;
-    static auto blocker(const attempts& all) -> const record*;
+    static auto make_refusal(common::attempt_number attempt, common::result_code code) -> record;
+    static auto describe(const record& found_record) -> messages::outcome_answer;
+    static auto find_unrefused(const attempts& all) -> const record*;
 
     /// The answer to a key of which enough is recorded already.
     static auto
-    existing(const attempts& all, const messages::run_key& key, messages::repeat_rule repeat)
+    find_decision(const attempts& all, const messages::run_key& key, messages::repeat_rule repeat)
         -> std::optional<admission>;
 
     /// Records a key that is new, as queued or as refused.
-    auto
-    add(attempts& all,
+    auto add_attempt(
+        attempts& all,
         const messages::run_key& key,
         messages::repeat_rule repeat,
         common::time_point now) -> admission;
@@ -133,10 +133,11 @@
     /// Changes the record of `key`, if `change` says so, and lets it expire.
     template <typename Change>
     auto end(const messages::run_key& key, common::time_point now, Change change) -> void;
-    auto take_room(bool for_refusal) -> bool;
-    auto keep(messages::finished_event answer) -> std::shared_ptr<const messages::finished_event>;
+    auto reserve_record(bool for_refusal) -> bool;
+    auto store_answer(messages::finished_event answer)
+        -> std::shared_ptr<const messages::finished_event>;
     auto expire_later(const messages::run_key& key, common::time_point now) -> void;
-    auto forget(const expiry& due) -> void;
+    auto remove(const expiry& due) -> void;
 
     request_table_limits limits;
     common::sharded_map<common::request_id, attempts> by_request;
--- a/source/core/agent/run.cpp
+++ b/source/core/agent/run.cpp
@@ -8,36 +8,36 @@
     messages::run_request asked,
     common::time_point until,
     messages::run_sink sink,
-    std::size_t keep_limit)
+    std::size_t text_limit)
     : request(std::move(asked)), deadline(until), outbox(std::move(sink)),
       reader(
           this->request,
-          this->request.repeat == messages::repeat_rule::at_most_once ? keep_limit : 0)
+          this->request.repeat == messages::repeat_rule::at_most_once ? text_limit : 0)
 {
 }
 
-auto run::advance(run_phase from, run_phase to) -> bool
+auto run::change_phase(run_phase from, run_phase to) -> bool
 {
     const std::lock_guard guard(this->lock);
-    if (this->current != from) {
+    if (this->current_phase != from) {
         return false;
     }
-    this->current = to;
+    this->current_phase = to;
     return true;
 }
 
 auto run::end_locked() -> ended_run
 {
-    ended_run result{this->current, std::move(this->backend), this->reader.used()};
+    ended_run result{this->current_phase, std::move(this->backend), this->reader.used_tokens()};
     this->backend = nullptr;
-    this->current = run_phase::ended;
+    this->current_phase = run_phase::ended;
     return result;
 }
 
 auto run::end() -> std::optional<ended_run>
 {
     const std::lock_guard guard(this->lock);
-    if (this->current == run_phase::ended) {
+    if (this->current_phase == run_phase::ended) {
         return std::nullopt;
     }
     return this->end_locked();
@@ -46,7 +46,7 @@
 auto run::end_unless_running() -> std::optional<ended_run>
 {
     const std::lock_guard guard(this->lock);
-    if (this->current == run_phase::ended || this->current == run_phase::running) {
+    if (this->current_phase == run_phase::ended || this->current_phase == run_phase::running) {
         return std::nullopt;
     }
     return this->end_locked();
@@ -55,14 +55,14 @@
 auto run::phase() -> run_phase
 {
     const std::lock_guard guard(this->lock);
-    return this->current;
+    return this->current_phase;
 }
 
-auto run::attach(std::shared_ptr<backend_handle> handle) -> void
+auto run::attach_backend(std::shared_ptr<backend_handle> handle) -> void
 {
     {
         const std::lock_guard guard(this->lock);
-        if (this->current != run_phase::ended) {
+        if (this->current_phase != run_phase::ended) {
             this->backend = handle;
         }
     }
@@ -112,28 +112,28 @@
     }
 }
 
-auto run::take_head(backend_head head) -> void
+auto run::on_head(backend_head head) -> void
 {
     const std::lock_guard guard(this->lock);
-    this->reader.head(std::move(head));
+    this->reader.on_head(std::move(head));
 }
 
-auto run::take_chunk(std::string piece) -> common::result<void>
+auto run::on_chunk(std::string piece) -> common::result<void>
 {
     std::optional<messages::tokens_event> tokens;
     {
         const std::lock_guard guard(this->lock);
-        if (this->current == run_phase::ended) {
+        if (this->current_phase == run_phase::ended) {
             return {};
         }
-        auto step = this->reader.chunk(std::move(piece));
-        if (!step) {
-            return tl::unexpected(step.error());
+        auto parsed = this->reader.on_chunk(std::move(piece));
+        if (!parsed) {
+            return tl::unexpected(parsed.error());
         }
-        tokens = std::move(*step);
+        tokens = std::move(*parsed);
     }
     if (tokens) {
-        this->outbox.put(std::move(*tokens));
+        this->outbox.send(std::move(*tokens));
     }
     return {};
 }
@@ -141,14 +141,14 @@
 auto run::final_event(const common::result<void>& outcome) -> messages::run_event
 {
     const std::lock_guard guard(this->lock);
-    return this->reader.done(outcome);
+    return this->reader.finish(outcome);
 }
 
-auto run::kept_form(const messages::finished_event& finished)
+auto run::answer_for_retry(const messages::finished_event& finished)
     -> std::optional<messages::finished_event>
 {
     const std::lock_guard guard(this->lock);
-    return this->reader.kept_form(finished);
+    return this->reader.answer_for_retry(finished);
 }
 
 } // namespace reedramp::agent
--- a/source/core/agent/run.hpp
+++ b/source/core/agent/run.hpp
@@ -38,10 +38,10 @@
     run(messages::run_request request,
         common::time_point deadline,
         messages::run_sink sink,
-        std::size_t keep_limit);
+        std::size_t text_limit);
 
     /// False if it has ended, or is not in phase `from`.
-    auto advance(run_phase from, run_phase to) -> bool;
+    auto change_phase(run_phase from, run_phase to) -> bool;
 
     /// Ends it for the one caller that comes first; the others get nothing.
     auto end() -> std::optional<ended_run>;
@@ -52,21 +52,21 @@
     [[nodiscard]] auto phase() -> run_phase;
 
     /// The call has been started; passes on a pause, or the end, that came first.
-    auto attach(std::shared_ptr<backend_handle> handle) -> void;
+    auto attach_backend(std::shared_ptr<backend_handle> handle) -> void;
 
     auto pause() -> void;
     auto resume() -> void;
 
-    auto take_head(backend_head head) -> void;
+    auto on_head(backend_head head) -> void;
 
     /// Passes tokens on to the reader. An error means that the answer is broken.
-    auto take_chunk(std::string piece) -> common::result<void>;
+    auto on_chunk(std::string piece) -> common::result<void>;
 
     /// What `outcome` makes of the answer read so far.
     auto final_event(const common::result<void>& outcome) -> messages::run_event;
 
     /// For a retry of an at-most-once request.
-    auto kept_form(const messages::finished_event& finished)
+    auto answer_for_retry(const messages::finished_event& finished)
         -> std::optional<messages::finished_event>;
 
     const messages::run_request request;
@@ -78,7 +78,7 @@
     auto is_paused() -> bool;
 
     std::mutex lock;
-    run_phase current = run_phase::waiting;
+    run_phase current_phase = run_phase::waiting;
     std::shared_ptr<backend_handle> backend;
     answer_reader reader;
     bool paused = false;
--- a/source/core/agent/work_cost.cpp
+++ b/source/core/agent/work_cost.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint64_t prompt_tokens_per_unit = 16;
 /// An answer's length where the caller gives no limit, and the most that is expected where it does:
 /// callers often give a limit that their answers never reach.
-constexpr std::uint64_t usual_completion = 128;
-constexpr std::uint64_t longest_expected_completion = 512;
+constexpr std::uint64_t default_completion_tokens = 128;
+constexpr std::uint64_t max_expected_completion_tokens = 512;
 
 } // namespace
 
@@ -26,11 +26,11 @@
     const auto prompt = request.body.size() / bytes_per_token / prompt_tokens_per_unit;
     const auto limit = request.max_tokens.value();
     const auto completion =
-        limit == 0 ? usual_completion : std::min(limit, longest_expected_completion);
+        limit == 0 ? default_completion_tokens : std::min(limit, max_expected_completion_tokens);
     return common::token_count{prompt + completion};
 }
 
-auto spent_cost(const messages::run_request& request, const messages::usage& used)
+auto actual_cost(const messages::run_request& request, const messages::usage& used)
     -> common::token_count
 {
     if (request.kind == messages::work_kind::service) {
--- a/source/core/agent/work_cost.hpp
+++ b/source/core/agent/work_cost.hpp
@@ -12,7 +12,7 @@
 auto expected_cost(const messages::run_request& request) -> common::token_count;
 
 /// What it has cost, in the same measure.
-auto spent_cost(const messages::run_request& request, const messages::usage& used)
+auto actual_cost(const messages::run_request& request, const messages::usage& used)
     -> common::token_count;
 
 /// The call that runs the request. Errors: `malformed_json`.
--- a/source/unit_tests/agent/agent_fixture.hpp
+++ b/source/unit_tests/agent/agent_fixture.hpp
@@ -51,7 +51,7 @@
         this->events.done({});
     }
 
-    auto break_off(common::execution run) -> void
+    auto fail(common::execution run) -> void
     {
         auto why = common::make_error(common::result_code::server_lost);
         why.run = run;
@@ -60,13 +60,13 @@
 };
 
 /// What one reader saw.
-struct reader {
+struct event_recorder {
     std::vector<messages::run_event> events;
     std::shared_ptr<messages::run_handle> handle;
 
     /// The only final event, as `Event`; null if it is another one or has not come.
     template <typename Event>
-    [[nodiscard]] auto last() const -> const Event*
+    [[nodiscard]] auto final_event() const -> const Event*
     {
         return this->events.empty() ? nullptr : std::get_if<Event>(&this->events.back());
     }
@@ -92,15 +92,15 @@
            std::string(to_string(why.run));
 }
 
-inline auto reader::outcome() const -> std::string
+inline auto event_recorder::outcome() const -> std::string
 {
-    if (const auto* away = this->last<messages::refused_event>()) {
-        return describe("refused", away->why);
+    if (const auto* refusal = this->final_event<messages::refused_event>()) {
+        return describe("refused", refusal->why);
     }
-    if (const auto* broken = this->last<messages::failed_event>()) {
-        return describe("failed", broken->why);
+    if (const auto* failure = this->final_event<messages::failed_event>()) {
+        return describe("failed", failure->why);
     }
-    return this->last<messages::finished_event>() != nullptr ? "finished" : "none";
+    return this->final_event<messages::finished_event>() != nullptr ? "finished" : "none";
 }
 
 inline const common::incarnation_id incarnation{41};
@@ -142,9 +142,9 @@
     return made;
 }
 
-class harness {
+class core_fixture {
 public:
-    explicit harness(core_options wanted = {})
+    explicit core_fixture(core_options wanted = {})
     {
         wanted.server = common::server_id{"s1"};
         if (wanted.incarnation.value() == 0) {
@@ -169,26 +169,26 @@
         hooks.current_until = [this] {
             return this->current_until;
         };
-        hooks.catch_up = [this](common::log_offset wanted_offset) {
-            this->asked_for = wanted_offset;
+        hooks.fetch_configuration = [this](common::log_offset wanted_offset) {
+            this->requested_offset = wanted_offset;
         };
         hooks.report_usage = [this](const usage_report& report) {
             this->usage.push_back(report);
         };
-        this->agent = core::create(wanted, hooks);
-        this->service = this->agent->service();
+        this->core = core::create(wanted, hooks);
+        this->service = this->core->service();
     }
 
     /// Ends what still runs, so that calls and readers let go of each other.
-    ~harness()
+    ~core_fixture()
     {
-        this->agent->drain();
-        this->agent->cut();
+        this->core->drain();
+        this->core->fail_all_runs();
         this->time.run_due();
     }
 
-    harness(const harness&) = delete;
-    auto operator=(const harness&) -> harness& = delete;
+    core_fixture(const core_fixture&) = delete;
+    auto operator=(const core_fixture&) -> core_fixture& = delete;
 
     static auto chat(std::uint64_t id, std::uint32_t attempt = 1) -> messages::run_request
     {
@@ -219,14 +219,15 @@
         return made;
     }
 
-    auto run(messages::run_request request) -> std::shared_ptr<reader>
+    auto run(messages::run_request request) -> std::shared_ptr<event_recorder>
     {
-        auto sees = std::make_shared<reader>();
-        sees->handle = this->service.run(std::move(request), [sees](messages::run_event event) {
-            sees->events.push_back(std::move(event));
-        });
+        auto recorder = std::make_shared<event_recorder>();
+        recorder->handle =
+            this->service.run(std::move(request), [recorder](messages::run_event event) {
+                recorder->events.push_back(std::move(event));
+            });
         this->time.run_due();
-        return sees;
+        return recorder;
     }
 
     auto ask(const messages::run_key& key, bool refuse_if_unknown = true)
@@ -254,7 +255,7 @@
         next->offset = common::log_offset{next->offset.value() + 1};
         change(*next);
         this->current = next;
-        this->agent->configuration_changed();
+        this->core->configuration_changed();
         this->time.run_due();
     }
 
@@ -263,8 +264,8 @@
     std::vector<usage_report> usage;
     inventory::snapshot_ptr current = std::make_shared<const inventory::state>(make_state());
     common::time_point current_until = common::never;
-    common::log_offset asked_for;
-    std::shared_ptr<core> agent;
+    common::log_offset requested_offset;
+    std::shared_ptr<agent::core> core;
     messages::agent_service service;
 };
 
--- a/source/unit_tests/agent/core_faults_test.cpp
+++ b/source/unit_tests/agent/core_faults_test.cpp
@@ -17,82 +17,85 @@
     // the refusal is recorded, so that asking about it confirms it.
     struct row {
         const char* what;
-        std::function<auto(harness& at, messages::run_request& request)->void> arrange;
+        std::function<auto(core_fixture& fixture, messages::run_request& request)->void> arrange;
         const char* outcome;
     };
 
-    const auto row_of_table = GENERATE(
+    const auto test_case = GENERATE(
         row{"withdrawn version",
-            [](harness& at, auto&) { at.configure([](auto& s) { withdraw(s, "v1"); }); },
+            [](core_fixture& fixture, auto&) {
+                fixture.configure([](auto& s) { withdraw(s, "v1"); });
+            },
             "refused version_withdrawn not_run"},
         row{"withdrawn by a peer while the log is down",
-            [](harness& at, auto&) {
-                at.configure([](auto& s) { s.withdrawn_early.insert(common::version_id{"v1"}); });
+            [](core_fixture& fixture, auto&) {
+                fixture.configure(
+                    [](auto& s) { s.withdrawn_early.insert(common::version_id{"v1"}); });
             },
             "refused version_withdrawn not_run"},
         row{"organisation without the model",
-            [](harness&, auto& r) { r.organisation = common::organisation_id{"nobody"}; },
+            [](core_fixture&, auto& r) { r.organisation = common::organisation_id{"nobody"}; },
             "refused organisation_not_allowed not_run"},
         row{"unknown organisation",
-            [](harness&, auto& r) { r.organisation = common::organisation_id{"x"}; },
+            [](core_fixture&, auto& r) { r.organisation = common::organisation_id{"x"}; },
             "refused organisation_not_allowed not_run"},
         row{"unknown version",
-            [](harness&, auto& r) { r.version = common::version_id{"v9"}; },
+            [](core_fixture&, auto& r) { r.version = common::version_id{"v9"}; },
             "refused unknown_model not_run"},
         row{"version of another model",
-            [](harness&, auto& r) { r.model = common::model_id{"tagging"}; },
+            [](core_fixture&, auto& r) { r.model = common::model_id{"tagging"}; },
             "refused unknown_model not_run"},
         row{"version of another server",
-            [](harness&, auto& r) { r.version = common::version_id{"v3"}; },
+            [](core_fixture&, auto& r) { r.version = common::version_id{"v3"}; },
             "refused no_capacity not_run"},
         row{"sensitive version, configuration too old to be sure",
-            [](harness& at, auto& r) {
-                at.current_until = at.time.now() - 1s;
+            [](core_fixture& fixture, auto& r) {
+                fixture.current_until = fixture.time.now() - 1s;
                 r.version = common::version_id{"v2"};
             },
             "refused stale_configuration not_run"},
         row{"service that is not allowed",
-            [](harness&, auto& r) {
-                r = harness::invoice(1);
+            [](core_fixture&, auto& r) {
+                r = core_fixture::invoice(1);
                 r.organisation = common::organisation_id{"nobody"};
             },
             "refused organisation_not_allowed not_run"},
         row{"service of another server",
-            [](harness&, auto& r) {
-                r = harness::invoice(1);
+            [](core_fixture&, auto& r) {
+                r = core_fixture::invoice(1);
                 r.service = common::service_name{"plans"};
             },
             "refused unknown_model not_run"},
         row{"body that is no JSON object",
-            [](harness&, auto& r) { r.body = "[1"; },
+            [](core_fixture&, auto& r) { r.body = "[1"; },
             "refused malformed_json not_run"},
         row{"deadline too near",
-            [](harness&, auto& r) { r.time_left = 1ms; },
+            [](core_fixture&, auto& r) { r.time_left = 1ms; },
             "refused deadline_too_near not_run"},
         row{"agent is leaving",
-            [](harness& at, auto&) { at.agent->drain(); },
+            [](core_fixture& fixture, auto&) { fixture.core->drain(); },
             "refused server_leaving not_run"},
         row{"agent is leaving, and behind the entry",
-            [](harness& at, auto& r) {
-                at.agent->drain();
+            [](core_fixture& fixture, auto& r) {
+                fixture.core->drain();
                 r.configuration = common::log_offset{newest.value() + 1};
             },
             "refused server_leaving not_run"},
         row{"meant for a predecessor",
-            [](harness&, auto& r) { r.key.incarnation = common::incarnation_id{40}; },
+            [](core_fixture&, auto& r) { r.key.incarnation = common::incarnation_id{40}; },
             "refused wrong_incarnation not_run"});
-    INFO(row_of_table.what);
-    harness at;
-    auto request = harness::chat(1);
-    row_of_table.arrange(at, request);
-    const auto seen = at.run(request);
-    CHECK(seen->outcome() == row_of_table.outcome);
+    INFO(test_case.what);
+    core_fixture fixture;
+    auto request = core_fixture::chat(1);
+    test_case.arrange(fixture, request);
+    const auto seen = fixture.run(request);
+    CHECK(seen->outcome() == test_case.outcome);
     CHECK(seen->events.size() == 1);
-    CHECK(at.backends.empty());
-    CHECK(at.agent->idle());
+    CHECK(fixture.backends.empty());
+    CHECK(fixture.core->is_idle());
     if (request.key.incarnation == incarnation) {
-        CHECK(at.ask(request.key, false).state == outcome_state::refused);
-        CHECK(at.run(request)->outcome() == "refused already_refused not_run");
+        CHECK(fixture.ask(request.key, false).state == outcome_state::refused);
+        CHECK(fixture.run(request)->outcome() == "refused already_refused not_run");
     }
 }
 
@@ -100,18 +103,18 @@
 {
     // The caller sees "version_withdrawn, not run". The request waits behind another one; the
     // withdrawal comes meanwhile; when its turn comes, the gate looks again.
-    harness at(one_slot());
-    const auto first = at.run(harness::chat(1));
-    const auto second = at.run(harness::chat(2));
-    REQUIRE(at.backends.size() == 1);
-    at.configure([](auto& s) { withdraw(s, "v1"); });
-    at.backends[0]->head("text/event-stream");
-    at.backends[0]->end_stream();
+    core_fixture fixture(one_slot());
+    const auto first = fixture.run(core_fixture::chat(1));
+    const auto second = fixture.run(core_fixture::chat(2));
+    REQUIRE(fixture.backends.size() == 1);
+    fixture.configure([](auto& s) { withdraw(s, "v1"); });
+    fixture.backends[0]->head("text/event-stream");
+    fixture.backends[0]->end_stream();
     CHECK(first->outcome() == "finished");
     CHECK(second->outcome() == "refused version_withdrawn not_run");
-    CHECK(at.backends.size() == 1);
-    CHECK_FALSE(at.probe("v1").serves_version);
-    CHECK(at.probe("v2").serves_version);
+    CHECK(fixture.backends.size() == 1);
+    CHECK_FALSE(fixture.probe("v1").serves_version);
+    CHECK(fixture.probe("v2").serves_version);
 }
 
 TEST_CASE("An agent behind the entry catches up or refuses")
@@ -119,61 +122,61 @@
     // The caller sees an answer a little later, or a refusal. The entry decided by a record that
     // the agent has not read; the agent asks for it and waits a bounded time, because the missing
     // record may be a withdrawal.
-    harness at;
-    auto request = harness::chat(1);
+    core_fixture fixture;
+    auto request = core_fixture::chat(1);
     request.configuration = common::log_offset{newest.value() + 1};
-    const auto seen = at.run(request);
-    CHECK(at.backends.empty());
-    CHECK(at.asked_for == request.configuration);
-    CHECK(at.ask(request.key).state == outcome_state::queued);
+    const auto seen = fixture.run(request);
+    CHECK(fixture.backends.empty());
+    CHECK(fixture.requested_offset == request.configuration);
+    CHECK(fixture.ask(request.key).state == outcome_state::queued);
 
     SECTION("it comes")
     {
-        at.configure([](auto&) {});
-        CHECK(at.backends.size() == 1);
+        fixture.configure([](auto&) {});
+        CHECK(fixture.backends.size() == 1);
     }
     SECTION("it comes and is a withdrawal")
     {
-        at.configure([](auto& s) { withdraw(s, "v1"); });
+        fixture.configure([](auto& s) { withdraw(s, "v1"); });
         CHECK(seen->outcome() == "refused version_withdrawn not_run");
     }
     SECTION("it does not come")
     {
-        at.time.run_for(core_options{}.catch_up_limit - 1ms);
+        fixture.time.run_for(core_options{}.configuration_wait_limit - 1ms);
         CHECK(seen->outcome() == "none");
-        at.time.run_for(1ms);
+        fixture.time.run_for(1ms);
         CHECK(seen->outcome() == "refused stale_configuration not_run");
-        at.configure([](auto&) {});
-        CHECK(at.backends.empty());
+        fixture.configure([](auto&) {});
+        CHECK(fixture.backends.empty());
     }
     SECTION("the agent leaves first")
     {
-        at.agent->drain();
+        fixture.core->drain();
         CHECK(seen->outcome() == "refused server_leaving not_run");
     }
 }
 
 TEST_CASE("A stream arrives whole and in order")
 {
-    harness at;
-    auto request = harness::chat(1);
+    core_fixture fixture;
+    auto request = core_fixture::chat(1);
     request.sent_tokens = common::token_count{5};
-    const auto seen = at.run(request);
-    REQUIRE(at.backends.size() == 1);
-    CHECK(at.backends[0]->call.body.find("\"resume_after_tokens\":5") != std::string::npos);
-    at.backends[0]->head("text/event-stream");
-    at.backends[0]->token("t5 ");
-    at.backends[0]->token("t6 ");
-    at.backends[0]->end_stream();
+    const auto seen = fixture.run(request);
+    REQUIRE(fixture.backends.size() == 1);
+    CHECK(fixture.backends[0]->call.body.find("\"resume_after_tokens\":5") != std::string::npos);
+    fixture.backends[0]->head("text/event-stream");
+    fixture.backends[0]->token("t5 ");
+    fixture.backends[0]->token("t6 ");
+    fixture.backends[0]->end_stream();
     CHECK(seen->text() == "t5 t6 ");
     CHECK(std::get<messages::tokens_event>(seen->events[0]).first_index == 5);
     CHECK(std::get<messages::tokens_event>(seen->events[1]).first_index == 6);
     REQUIRE(seen->outcome() == "finished");
-    CHECK(seen->last<finished_event>()->finish_reason == "stop");
-    CHECK(seen->last<finished_event>()->used.prompt_tokens.value() == 7);
-    REQUIRE(at.usage.size() == 1);
-    CHECK(at.usage[0].used.completion_tokens.value() == 2);
-    CHECK(at.agent->idle());
+    CHECK(seen->final_event<finished_event>()->finish_reason == "stop");
+    CHECK(seen->final_event<finished_event>()->used.prompt_tokens.value() == 7);
+    REQUIRE(fixture.usage.size() == 1);
+    CHECK(fixture.usage[0].used.completion_tokens.value() == 2);
+    CHECK(fixture.core->is_idle());
 }
 
 TEST_CASE("A lost or broken backend server is told as such")
@@ -187,20 +190,20 @@
         std::size_t tokens;
     };
 
-    const auto row_of_table = GENERATE(
+    const auto test_case = GENERATE(
         row{"connection refused",
-            [](fake_backend& e) { e.break_off(common::execution::not_run); },
+            [](fake_backend& e) { e.fail(common::execution::not_run); },
             "refused no_capacity not_run",
             0},
         row{"lost before its answer",
-            [](fake_backend& e) { e.break_off(common::execution::unknown); },
+            [](fake_backend& e) { e.fail(common::execution::unknown); },
             "failed server_lost unknown",
             0},
         row{"lost mid-stream",
             [](fake_backend& e) {
                 e.head("text/event-stream");
                 e.token("t0 ");
-                e.break_off(common::execution::unknown);
+                e.fail(common::execution::unknown);
             },
             "failed server_lost unknown",
             1},
@@ -227,15 +230,15 @@
             "failed server_failed ran",
             0},
         row{"caller's fault", [](fake_backend& e) { e.answer("{}", 400); }, "finished", 0});
-    INFO(row_of_table.what);
-    harness at;
-    const auto seen = at.run(harness::chat(1));
-    row_of_table.fault(*at.backends.at(0));
-    CHECK(seen->outcome() == row_of_table.outcome);
-    REQUIRE(at.usage.size() == 1);
-    CHECK(at.usage[0].used.completion_tokens.value() == row_of_table.tokens);
-    CHECK(at.agent->idle());
-    CHECK(at.agent->counters().in_flight == 0);
+    INFO(test_case.what);
+    core_fixture fixture;
+    const auto seen = fixture.run(core_fixture::chat(1));
+    test_case.fault(*fixture.backends.at(0));
+    CHECK(seen->outcome() == test_case.outcome);
+    REQUIRE(fixture.usage.size() == 1);
+    CHECK(fixture.usage[0].used.completion_tokens.value() == test_case.tokens);
+    CHECK(fixture.core->is_idle());
+    CHECK(fixture.core->counters().in_flight == 0);
 }
 
 TEST_CASE("Copies of an at-most-once call never run a second time")
@@ -243,22 +246,22 @@
     // The caller sees its invoice once. Copies of the call, or later attempts of it, come while it
     // runs, after it ended, and after its answer was lost; the record that was made before the
     // start keeps each of them from running.
-    harness at;
-    const auto first = at.run(harness::invoice(1));
-    REQUIRE(at.backends.size() == 1);
-    CHECK(at.run(harness::invoice(1))->outcome() == "failed still_running unknown");
-    CHECK(at.run(harness::invoice(1, 2))->outcome() == "failed still_running unknown");
+    core_fixture fixture;
+    const auto first = fixture.run(core_fixture::invoice(1));
+    REQUIRE(fixture.backends.size() == 1);
+    CHECK(fixture.run(core_fixture::invoice(1))->outcome() == "failed still_running unknown");
+    CHECK(fixture.run(core_fixture::invoice(1, 2))->outcome() == "failed still_running unknown");
 
     SECTION("the answer is kept for retries")
     {
-        at.backends[0]->answer("note 7");
+        fixture.backends[0]->answer("note 7");
         CHECK(first->outcome() == "finished");
         for (const auto attempt : {1U, 2U, 3U}) {
-            const auto copy = at.run(harness::invoice(1, attempt));
+            const auto copy = fixture.run(core_fixture::invoice(1, attempt));
             REQUIRE(copy->outcome() == "finished");
-            CHECK(copy->last<finished_event>()->body == "note 7");
+            CHECK(copy->final_event<finished_event>()->body == "note 7");
         }
-        const auto known = at.ask(harness::invoice(1).key);
+        const auto known = fixture.ask(core_fixture::invoice(1).key);
         CHECK(known.state == outcome_state::finished);
         CHECK(known.finished.value().body == "note 7");
     }
@@ -266,36 +269,41 @@
     {
         first->handle->pause();
         first->handle->cancel();
-        CHECK_FALSE(at.backends[0]->cancelled);
-        CHECK_FALSE(at.backends[0]->paused);
-        CHECK(at.ask(harness::invoice(1).key).state == outcome_state::running);
-        at.backends[0]->answer("note 7");
+        CHECK_FALSE(fixture.backends[0]->cancelled);
+        CHECK_FALSE(fixture.backends[0]->paused);
+        CHECK(fixture.ask(core_fixture::invoice(1).key).state == outcome_state::running);
+        fixture.backends[0]->answer("note 7");
         CHECK(first->events.empty());
-        CHECK(at.run(harness::invoice(1, 2))->last<finished_event>()->body == "note 7");
+        CHECK(
+            fixture.run(core_fixture::invoice(1, 2))->final_event<finished_event>()->body ==
+            "note 7");
     }
     SECTION("its outcome is lost for good")
     {
-        at.backends[0]->break_off(common::execution::unknown);
+        fixture.backends[0]->fail(common::execution::unknown);
         CHECK(first->outcome() == "failed server_lost unknown");
-        CHECK(at.run(harness::invoice(1, 2))->outcome() == "failed duplicate_request unknown");
+        CHECK(
+            fixture.run(core_fixture::invoice(1, 2))->outcome() ==
+            "failed duplicate_request unknown");
     }
     SECTION("the backend server got no byte: a later attempt may run")
     {
-        at.backends[0]->break_off(common::execution::not_run);
+        fixture.backends[0]->fail(common::execution::not_run);
         CHECK(first->outcome() == "refused no_capacity not_run");
-        CHECK(at.run(harness::invoice(1))->outcome() == "refused already_refused not_run");
-        at.run(harness::invoice(1, 2));
-        CHECK(at.backends.size() == 2);
+        CHECK(
+            fixture.run(core_fixture::invoice(1))->outcome() == "refused already_refused not_run");
+        fixture.run(core_fixture::invoice(1, 2));
+        CHECK(fixture.backends.size() == 2);
         return;
     }
     SECTION("its deadline passes")
     {
-        at.time.run_for(31s);
-        CHECK_FALSE(at.backends[0]->cancelled);
-        at.backends[0]->answer("note 7");
+        fixture.time.run_for(31s);
+        CHECK_FALSE(fixture.backends[0]->cancelled);
+        fixture.backends[0]->answer("note 7");
         CHECK(first->outcome() == "finished");
     }
-    CHECK(at.backends.size() == 1);
+    CHECK(fixture.backends.size() == 1);
 }
 
 TEST_CASE("A method that the inventory does not call idempotent runs at most once")
@@ -304,13 +312,13 @@
     // be repeated and sends a second attempt.
     core_options options;
     options.queue.capacity.slots = 4;
-    harness at(options);
+    core_fixture fixture(options);
     for (const auto attempt : {1U, 2U}) {
-        auto request = harness::invoice(1, attempt);
+        auto request = core_fixture::invoice(1, attempt);
         request.repeat = messages::repeat_rule::idempotent;
-        at.run(request);
+        fixture.run(request);
     }
-    CHECK(at.backends.size() == 1);
+    CHECK(fixture.backends.size() == 1);
 }
 
 TEST_CASE("A delayed copy is refused after the entry was told that it is free")
@@ -319,18 +327,18 @@
     // "refused"; the message that was thought lost comes now, and later than a newer attempt.
     core_options options;
     options.queue.capacity.slots = 4;
-    harness at(options);
-    const auto known = at.ask(harness::invoice(1).key);
+    core_fixture fixture(options);
+    const auto known = fixture.ask(core_fixture::invoice(1).key);
     CHECK(known.state == outcome_state::refused);
     CHECK(known.why.value().run == common::execution::not_run);
-    CHECK(at.run(harness::invoice(1))->outcome() == "refused already_refused not_run");
-    CHECK(at.backends.empty());
-    at.run(harness::invoice(1, 3));
-    CHECK(at.backends.size() == 1);
-    CHECK(at.run(harness::invoice(1, 2))->outcome() == "failed still_running unknown");
-    at.run(harness::chat(2, 2));
-    CHECK(at.run(harness::chat(2, 1))->outcome() == "refused already_refused not_run");
-    CHECK(at.backends.size() == 2);
+    CHECK(fixture.run(core_fixture::invoice(1))->outcome() == "refused already_refused not_run");
+    CHECK(fixture.backends.empty());
+    fixture.run(core_fixture::invoice(1, 3));
+    CHECK(fixture.backends.size() == 1);
+    CHECK(fixture.run(core_fixture::invoice(1, 2))->outcome() == "failed still_running unknown");
+    fixture.run(core_fixture::chat(2, 2));
+    CHECK(fixture.run(core_fixture::chat(2, 1))->outcome() == "refused already_refused not_run");
+    CHECK(fixture.backends.size() == 2);
 }
 
 TEST_CASE("A replaced agent neither runs nor vouches for its predecessor's work")
@@ -340,8 +348,8 @@
     // says that it does not know, which does not free the entry to place a call again.
     core_options options;
     options.incarnation = common::incarnation_id{42};
-    harness successor(options);
-    const auto old = harness::invoice(1);
+    core_fixture successor(options);
+    const auto old = core_fixture::invoice(1);
     CHECK(successor.run(old)->outcome() == "refused wrong_incarnation not_run");
     const auto known = successor.ask(old.key);
     CHECK(known.state == outcome_state::unknown);
@@ -353,34 +361,34 @@
 {
     // One caller's stream goes on to its end; the other's request is answered by another server. At
     // the drain the probes say "leaving" at once, queued work is refused and recorded.
-    harness at(one_slot());
-    const auto streaming = at.run(harness::chat(1));
-    const auto queued = at.run(harness::chat(2));
-    at.backends[0]->head("text/event-stream");
-    at.backends[0]->token("t0 ");
-    at.agent->drain();
-    CHECK(at.probe("v1").leaving);
+    core_fixture fixture(one_slot());
+    const auto streaming = fixture.run(core_fixture::chat(1));
+    const auto queued = fixture.run(core_fixture::chat(2));
+    fixture.backends[0]->head("text/event-stream");
+    fixture.backends[0]->token("t0 ");
+    fixture.core->drain();
+    CHECK(fixture.probe("v1").leaving);
     CHECK(queued->outcome() == "refused server_leaving not_run");
-    CHECK(at.ask(harness::chat(2).key).state == outcome_state::refused);
-    CHECK(at.run(harness::chat(3))->outcome() == "refused server_leaving not_run");
-    CHECK_FALSE(at.agent->idle());
-    at.backends[0]->token("t1 ");
-    at.backends[0]->end_stream();
+    CHECK(fixture.ask(core_fixture::chat(2).key).state == outcome_state::refused);
+    CHECK(fixture.run(core_fixture::chat(3))->outcome() == "refused server_leaving not_run");
+    CHECK_FALSE(fixture.core->is_idle());
+    fixture.backends[0]->token("t1 ");
+    fixture.backends[0]->end_stream();
     CHECK(streaming->outcome() == "finished");
     CHECK(streaming->text() == "t0 t1 ");
-    CHECK(at.agent->idle());
-    CHECK(at.agent->cut() == 0);
+    CHECK(fixture.core->is_idle());
+    CHECK(fixture.core->fail_all_runs() == 0);
 }
 
 TEST_CASE("A drain that takes too long counts what it cuts")
 {
-    harness at;
-    const auto seen = at.run(harness::chat(1));
-    at.agent->drain();
-    CHECK(at.agent->cut() == 1);
+    core_fixture fixture;
+    const auto seen = fixture.run(core_fixture::chat(1));
+    fixture.core->drain();
+    CHECK(fixture.core->fail_all_runs() == 1);
     CHECK(seen->outcome() == "failed server_lost unknown");
-    CHECK(at.backends[0]->cancelled);
-    CHECK(at.agent->idle());
+    CHECK(fixture.backends[0]->cancelled);
+    CHECK(fixture.core->is_idle());
 }
 
 TEST_CASE("What cannot finish in time is refused at once, with a time to come back")
@@ -389,79 +397,79 @@
     // before the request takes longer than its deadline allows.
     auto options = one_slot();
     options.queue.max_queued = 2;
-    harness at(options);
-    at.run(harness::chat(1));
-    auto hasty = harness::chat(2);
+    core_fixture fixture(options);
+    fixture.run(core_fixture::chat(1));
+    auto hasty = core_fixture::chat(2);
     hasty.time_left = 2s;
-    const auto late = at.run(hasty);
+    const auto late = fixture.run(hasty);
     CHECK(late->outcome() == "refused deadline_too_near not_run");
-    CHECK(late->last<refused_event>()->retry_after > 0s);
-    at.run(harness::chat(3));
-    at.run(harness::chat(4));
-    const auto over = at.run(harness::chat(5));
+    CHECK(late->final_event<refused_event>()->retry_after > 0s);
+    fixture.run(core_fixture::chat(3));
+    fixture.run(core_fixture::chat(4));
+    const auto over = fixture.run(core_fixture::chat(5));
     CHECK(over->outcome() == "refused queue_full not_run");
-    CHECK(over->last<refused_event>()->retry_after > 0s);
-    CHECK(at.probe("v1").queued == 2);
-    CHECK(at.probe("v1").estimated_wait > 0s);
+    CHECK(over->final_event<refused_event>()->retry_after > 0s);
+    CHECK(fixture.probe("v1").queued == 2);
+    CHECK(fixture.probe("v1").estimated_wait > 0s);
 }
 
 TEST_CASE("A queued request is refused when its time runs out")
 {
-    harness at(one_slot());
-    at.run(harness::invoice(1));
-    const auto waits = at.run(harness::chat(2));
-    at.time.run_for(29s);
+    core_fixture fixture(one_slot());
+    fixture.run(core_fixture::invoice(1));
+    const auto waits = fixture.run(core_fixture::chat(2));
+    fixture.time.run_for(29s);
     CHECK(waits->outcome() == "refused deadline_too_near not_run");
-    CHECK(at.backends.size() == 1);
+    CHECK(fixture.backends.size() == 1);
 }
 
 TEST_CASE("A caller that leaves frees the backend server")
 {
-    harness at(one_slot());
-    const auto first = at.run(harness::chat(1));
-    const auto second = at.run(harness::chat(2));
-    const auto third = at.run(harness::chat(3));
+    core_fixture fixture(one_slot());
+    const auto first = fixture.run(core_fixture::chat(1));
+    const auto second = fixture.run(core_fixture::chat(2));
+    const auto third = fixture.run(core_fixture::chat(3));
     second->handle->cancel();
-    CHECK(at.ask(harness::chat(2).key).state == outcome_state::refused);
-    at.backends[0]->head("text/event-stream");
-    at.backends[0]->token("t0 ");
+    CHECK(fixture.ask(core_fixture::chat(2).key).state == outcome_state::refused);
+    fixture.backends[0]->head("text/event-stream");
+    fixture.backends[0]->token("t0 ");
     first->handle->cancel();
-    CHECK(at.backends[0]->cancelled);
-    at.backends[0]->token("late ");
-    at.backends[0]->end_stream();
+    CHECK(fixture.backends[0]->cancelled);
+    fixture.backends[0]->token("late ");
+    fixture.backends[0]->end_stream();
     CHECK(first->text() == "t0 ");
     CHECK(first->outcome() == "none");
-    REQUIRE(at.usage.size() == 1);
-    CHECK(at.usage[0].used.completion_tokens.value() == 1);
-    CHECK(at.ask(harness::chat(1).key).state == outcome_state::failed);
-    REQUIRE(at.backends.size() == 2);
-    at.backends[1]->head("text/event-stream");
-    at.backends[1]->end_stream();
+    REQUIRE(fixture.usage.size() == 1);
+    CHECK(fixture.usage[0].used.completion_tokens.value() == 1);
+    CHECK(fixture.ask(core_fixture::chat(1).key).state == outcome_state::failed);
+    REQUIRE(fixture.backends.size() == 2);
+    fixture.backends[1]->head("text/event-stream");
+    fixture.backends[1]->end_stream();
     CHECK(third->outcome() == "finished");
 }
 
 TEST_CASE("A slow reader pauses the backend server")
 {
-    harness at(one_slot());
-    const auto first = at.run(harness::chat(1));
-    const auto second = at.run(harness::chat(2));
+    core_fixture fixture(one_slot());
+    const auto first = fixture.run(core_fixture::chat(1));
+    const auto second = fixture.run(core_fixture::chat(2));
     first->handle->pause();
-    CHECK(at.backends[0]->paused);
+    CHECK(fixture.backends[0]->paused);
     first->handle->resume();
-    CHECK_FALSE(at.backends[0]->paused);
+    CHECK_FALSE(fixture.backends[0]->paused);
     second->handle->pause();
-    at.backends[0]->end_stream();
-    REQUIRE(at.backends.size() == 2);
-    CHECK(at.backends[1]->paused);
+    fixture.backends[0]->end_stream();
+    REQUIRE(fixture.backends.size() == 2);
+    CHECK(fixture.backends[1]->paused);
 }
 
 TEST_CASE("An idempotent run ends at its deadline")
 {
-    harness at;
-    const auto seen = at.run(harness::chat(1));
-    at.time.run_for(30s);
+    core_fixture fixture;
+    const auto seen = fixture.run(core_fixture::chat(1));
+    fixture.time.run_for(30s);
     CHECK(seen->outcome() == "failed deadline_passed ran");
-    CHECK(at.backends[0]->cancelled);
+    CHECK(fixture.backends[0]->cancelled);
 }
 
 } // namespace reedramp::agent::test
--- a/source/unit_tests/agent/core_threads_test.cpp
+++ b/source/unit_tests/agent/core_threads_test.cpp
@@ -37,26 +37,26 @@
 };
 
 /// What one reader saw, from whichever threads.
-struct watched_run {
+struct run_observer {
     std::atomic<std::uint64_t> next_index = 0;
-    std::atomic<int> finals = 0;
-    std::atomic<int> faults = 0;
-    std::atomic<int> inside = 0;
+    std::atomic<int> final_events = 0;
+    std::atomic<int> violations = 0;
+    std::atomic<int> active_calls = 0;
     std::shared_ptr<messages::run_handle> handle;
 
-    auto see(const messages::run_event& event) -> void
+    auto on_event(const messages::run_event& event) -> void
     {
-        const auto alone = this->inside.fetch_add(1) == 0 && this->finals == 0;
+        const auto is_exclusive = this->active_calls.fetch_add(1) == 0 && this->final_events == 0;
         if (const auto* tokens = std::get_if<messages::tokens_event>(&event)) {
             const auto in_order = tokens->first_index == this->next_index;
-            this->faults += alone && in_order ? 0 : 1;
+            this->violations += is_exclusive && in_order ? 0 : 1;
             this->next_index += tokens->count;
         }
         else {
-            this->faults += alone ? 0 : 1;
-            ++this->finals;
+            this->violations += is_exclusive ? 0 : 1;
+            ++this->final_events;
         }
-        --this->inside;
+        --this->active_calls;
     }
 };
 
@@ -111,13 +111,15 @@
     };
     const auto agent = core::create(options, hooks);
 
-    std::vector<watched_run> runs(run_count);
+    std::vector<run_observer> runs(run_count);
     std::atomic<bool> stop = false;
     const auto send = [&](std::uint64_t first) {
         for (auto id = first; id < run_count; id += 2) {
             auto& mine = runs[id];
-            mine.handle = agent->service().run(
-                harness::chat(id), [&mine](messages::run_event event) { mine.see(event); });
+            mine.handle =
+                agent->service().run(core_fixture::chat(id), [&mine](messages::run_event event) {
+                    mine.on_event(event);
+                });
             mine.handle->pause();
             mine.handle->resume();
             if (id % cancel_each == 0) {
@@ -160,7 +162,7 @@
     agent->drain();
     const auto busy = [&] {
         const std::lock_guard guard(posted_lock);
-        return !posted.empty() || !agent->idle();
+        return !posted.empty() || !agent->is_idle();
     };
     while (busy()) {
         std::this_thread::yield();
@@ -171,9 +173,9 @@
     }
     for (std::uint64_t id = 0; id < run_count; ++id) {
         INFO(id);
-        CHECK(runs[id].faults == 0);
+        CHECK(runs[id].violations == 0);
         const auto left = id % cancel_each == 0;
-        CHECK((runs[id].finals == 1 || (left && runs[id].finals == 0)));
+        CHECK((runs[id].final_events == 1 || (left && runs[id].final_events == 0)));
     }
     const auto counters = agent->counters();
     CHECK(
--- a/source/unit_tests/agent/engine_protocol_test.cpp
+++ b/source/unit_tests/agent/engine_protocol_test.cpp
@@ -66,10 +66,10 @@
         INFO(malformed);
         CHECK_FALSE(parse_engine_answer(malformed));
     }
-    const auto odd = parse_engine_answer(
+    const auto unusual = parse_engine_answer(
         R"({"choices":[{"message":{"content":null}}],"usage":{"prompt_tokens":-1}})");
-    REQUIRE(odd);
-    CHECK(odd->used == messages::usage{});
+    REQUIRE(unusual);
+    CHECK(unusual->used == messages::usage{});
 }
 
 TEST_CASE("A stream is read alike however it is cut")
@@ -96,9 +96,9 @@
         }
         REQUIRE(text == "t0 \u00e9 ");
         REQUIRE(tokens == 2);
-        REQUIRE(reader.whole());
+        REQUIRE(reader.is_complete());
         REQUIRE(reader.finish_reason() == "stop");
-        REQUIRE(reader.used().completion_tokens.value() == 4);
+        REQUIRE(reader.used_tokens().completion_tokens.value() == 4);
     }
 }
 
@@ -117,8 +117,8 @@
         REQUIRE_FALSE(step);
         CHECK(step.error().code == result_code::server_failed);
         CHECK_FALSE(reader.feed("data: [DONE]\n"));
-        CHECK_FALSE(reader.whole());
-        CHECK(reader.used().completion_tokens.value() == 1);
+        CHECK_FALSE(reader.is_complete());
+        CHECK(reader.used_tokens().completion_tokens.value() == 1);
     }
 }
 
--- a/source/unit_tests/agent/program_test.cpp
+++ b/source/unit_tests/agent/program_test.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 /// Keeps the answer.
-class kept_answer final : public http::responder {
+class recording_responder final : public http::responder {
 public:
-    auto send(http::response answer) -> void override { this->sent = std::move(answer); }
+    auto send(http::response answer) -> void override { this->response = std::move(answer); }
 
     auto start(http::response) -> void override {}
 
@@ -38,7 +38,7 @@
 
     auto on_disconnect(std::function<auto()->void>) -> void override {}
 
-    http::response sent;
+    http::response response;
 };
 
 } // namespace
@@ -55,7 +55,7 @@
         bool drains;
     };
 
-    const auto row_of_table = GENERATE(
+    const auto test_case = GENERATE(
         row{"GET", "/health/live", "", false, false, 200, false},
         row{"GET", "/health/ready", "", false, false, 503, false},
         row{"GET", "/health/ready", "", true, false, 200, false},
@@ -68,24 +68,24 @@
         row{"POST", "/drain", "Basic right", true, false, 403, false},
         row{"GET", "/drain", "Bearer right", true, false, 405, false},
         row{"POST", "/drain", "Bearer right", true, false, 200, true});
-    INFO(row_of_table.method << " " << row_of_table.target << " " << row_of_table.authorization);
+    INFO(test_case.method << " " << test_case.target << " " << test_case.authorization);
     bool drained = false;
     const operations_api api(
-        {[&] { return row_of_table.leaving; },
-         [&] { return row_of_table.ready; },
+        {[&] { return test_case.leaving; },
+         [&] { return test_case.ready; },
          [] { return std::string("series"); },
          [&] {
              drained = true;
          }},
         {inventory::sha256_hex("right")});
-    const auto out = std::make_shared<kept_answer>();
+    const auto out = std::make_shared<recording_responder>();
     http::request asked;
-    asked.method = row_of_table.method;
-    asked.target = row_of_table.target;
-    asked.headers.push_back({"authorization", row_of_table.authorization});
+    asked.method = test_case.method;
+    asked.target = test_case.target;
+    asked.headers.push_back({"authorization", test_case.authorization});
     api.handle(asked, out);
-    CHECK(out->sent.status == row_of_table.status);
-    CHECK(drained == row_of_table.drains);
+    CHECK(out->response.status == test_case.status);
+    CHECK(drained == test_case.drains);
 }
 
 TEST_CASE("An engine is to have what is listed for it and not withdrawn")
--- a/source/unit_tests/agent/registration_test.cpp
+++ b/source/unit_tests/agent/registration_test.cpp
@@ -23,18 +23,18 @@
     };
 
     constexpr std::uint64_t random_bits = 77;
-    const auto row_of_table = GENERATE(
+    const auto test_case = GENERATE(
         row{"log works", {}, 0s, 2},
         row{"answer lost once, then found by a second record", {false, {}, 1, 0, 0}, 100ms, 3},
         row{"log down for a moment", {true, {}, 0, 0, 0}, 500ms, 2},
         row{"log down", {true, {}, 0, 0, 0}, 1h, random_bits | random_incarnation_bit},
         row{"log too slow", {false, 10s, 0, 0, 0}, 1h, random_bits | random_incarnation_bit});
-    INFO(row_of_table.what);
+    INFO(test_case.what);
     platform::fake_time time{common::time_point{1h}};
     platform::fake_log log(time.clock(), time.timers());
     log.put(platform::streams::registrations, "an earlier life");
-    log.set_faults(row_of_table.faults);
-    time.at(time.now() + row_of_table.faulty_for, [&log] { log.set_faults({}); });
+    log.set_faults(test_case.faults);
+    time.at(time.now() + test_case.faulty_for, [&log] { log.set_faults({}); });
 
     std::vector<std::uint64_t> given;
     register_agent(
@@ -48,7 +48,7 @@
         time.now() + 3s,
         [&given](common::incarnation_id one) { given.push_back(one.value()); });
     time.run_for(20s);
-    CHECK(given == std::vector<std::uint64_t>{row_of_table.incarnation});
+    CHECK(given == std::vector<std::uint64_t>{test_case.incarnation});
 }
 
 } // namespace reedramp::agent
--- a/source/unit_tests/agent/registration_tail_test.cpp
+++ b/source/unit_tests/agent/registration_watcher_test.cpp
@@ -1,4 +1,4 @@
-#include "agent/registration_tail.hpp"
+#include "agent/registration_watcher.hpp"
 
 #include <vector>
 
@@ -44,11 +44,11 @@
     // reach as far as the newer record for proof that there is none.
     for (const auto& row : rows()) {
         INFO(row.what);
-        registration_tail subject(common::server_id{"s"}, own, log_offset{7});
-        const auto newest = subject.take(row.answer);
+        registration_watcher subject(common::server_id{"s"}, own, log_offset{7});
+        const auto newest = subject.apply(row.answer);
         CHECK(newest.has_value() != row.is_error);
         CHECK(newest.value_or(log_offset{}).value() == row.newest);
-        CHECK(subject.next_read().value() == row.next_read);
+        CHECK(subject.read_after().value() == row.next_read);
     }
 }
 
--- a/source/unit_tests/agent/request_table_test.cpp
+++ b/source/unit_tests/agent/request_table_test.cpp
@@ -26,7 +26,7 @@
     return {{1, id}, common::attempt_number{attempt}, common::incarnation_id{5}};
 }
 
-auto admitted_now(request_table& table, const messages::run_key& which, repeat_rule repeat) -> bool
+auto is_admitted(request_table& table, const messages::run_key& which, repeat_rule repeat) -> bool
 {
     return std::holds_alternative<admitted>(table.admit(which, repeat, start_time));
 }
@@ -39,23 +39,23 @@
     // reserve, so that a later copy is refused too; past it nothing is promised, and the answer is
     // "unknown".
     request_table table(limits(2, 2));
-    CHECK(admitted_now(table, key(1), repeat_rule::idempotent));
-    CHECK(admitted_now(table, key(2), repeat_rule::idempotent));
+    CHECK(is_admitted(table, key(1), repeat_rule::idempotent));
+    CHECK(is_admitted(table, key(2), repeat_rule::idempotent));
     const auto third = table.admit(key(3), repeat_rule::idempotent, start_time);
-    REQUIRE(std::holds_alternative<turned_away>(third));
-    CHECK(std::get<turned_away>(third).why.run == common::execution::not_run);
-    CHECK(table.ask({key(4)}, start_time).state == outcome_state::refused);
+    REQUIRE(std::holds_alternative<rejected>(third));
+    CHECK(std::get<rejected>(third).why.run == common::execution::not_run);
+    CHECK(table.query({key(4)}, start_time).state == outcome_state::refused);
     const auto fifth = table.admit(key(5), repeat_rule::idempotent, start_time);
-    REQUIRE(std::holds_alternative<already_taken>(fifth));
-    CHECK(std::get<already_taken>(fifth).known.why.value().run == common::execution::unknown);
-    const auto sixth = table.ask({key(6)}, start_time);
+    REQUIRE(std::holds_alternative<duplicate>(fifth));
+    CHECK(std::get<duplicate>(fifth).outcome.why.value().run == common::execution::unknown);
+    const auto sixth = table.query({key(6)}, start_time);
     CHECK(sixth.state == outcome_state::unknown);
     CHECK(sixth.why.value().run == common::execution::unknown);
 
     CHECK(table.start(key(1)));
     CHECK_FALSE(table.start(key(3)));
     for (std::uint64_t id : {1U, 2U, 3U, 4U}) {
-        CHECK_FALSE(admitted_now(table, key(id), repeat_rule::idempotent));
+        CHECK_FALSE(is_admitted(table, key(id), repeat_rule::idempotent));
     }
     CHECK(table.records() == 4);
 }
@@ -63,8 +63,8 @@
 TEST_CASE("Records live for the window after their end, open ones for ever")
 {
     request_table table(limits(10, 0));
-    CHECK(admitted_now(table, key(1), repeat_rule::at_most_once));
-    CHECK(admitted_now(table, key(2), repeat_rule::at_most_once));
+    CHECK(is_admitted(table, key(1), repeat_rule::at_most_once));
+    CHECK(is_admitted(table, key(2), repeat_rule::at_most_once));
     CHECK(table.start(key(1)));
     CHECK(table.start(key(2)));
     messages::finished_event answer;
@@ -72,12 +72,12 @@
     table.finish(key(1), {}, answer, start_time);
     CHECK(table.kept_bytes() == 50);
     table.expire(start_time + 10min - 1ms);
-    CHECK(table.ask({key(1)}, start_time).state == outcome_state::finished);
+    CHECK(table.query({key(1)}, start_time).state == outcome_state::finished);
     table.expire(start_time + 10min);
     CHECK(table.kept_bytes() == 0);
-    CHECK(table.ask({key(1), false}, start_time).state == outcome_state::unknown);
+    CHECK(table.query({key(1), false}, start_time).state == outcome_state::unknown);
     table.expire(start_time + 100h);
-    CHECK(table.ask({key(2)}, start_time).state == outcome_state::running);
+    CHECK(table.query({key(2)}, start_time).state == outcome_state::running);
     CHECK(table.records() == 1);
 }
 
@@ -89,17 +89,17 @@
     request_table table(limits(100, 10));
     messages::finished_event answer;
     for (std::uint64_t id : {1U, 2U, 3U}) {
-        CHECK(admitted_now(table, key(id), repeat_rule::at_most_once));
+        CHECK(is_admitted(table, key(id), repeat_rule::at_most_once));
         CHECK(table.start(key(id)));
         answer.body = std::string(id == 1 ? 61 : 50, 'x');
         table.finish(key(id), {}, answer, start_time);
     }
     CHECK(table.kept_bytes() == 100);
-    CHECK_FALSE(admitted_now(table, key(4), repeat_rule::at_most_once));
-    CHECK(admitted_now(table, key(5), repeat_rule::idempotent));
-    CHECK_FALSE(table.ask({key(1)}, start_time).finished);
-    CHECK(table.ask({key(1)}, start_time).state == outcome_state::finished);
-    CHECK(table.ask({key(2)}, start_time).finished);
+    CHECK_FALSE(is_admitted(table, key(4), repeat_rule::at_most_once));
+    CHECK(is_admitted(table, key(5), repeat_rule::idempotent));
+    CHECK_FALSE(table.query({key(1)}, start_time).finished);
+    CHECK(table.query({key(1)}, start_time).state == outcome_state::finished);
+    CHECK(table.query({key(2)}, start_time).finished);
 }
 
 TEST_CASE("Of many threads with copies of one request, one may run it")
@@ -114,9 +114,9 @@
             threads.emplace_back([&, thread] {
                 const auto mine = key(round, 1 + thread / 2);
                 if (thread == 3) {
-                    table.ask({mine}, start_time);
+                    table.query({mine}, start_time);
                 }
-                if (admitted_now(table, mine, repeat_rule::at_most_once) && table.start(mine)) {
+                if (is_admitted(table, mine, repeat_rule::at_most_once) && table.start(mine)) {
                     ++starts;
                 }
             });
--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -90,7 +90,7 @@
         if (node != nullptr && node->core != nullptr) {
             node->alive->revive();
             node->core->drain();
-            node->core->cut();
+            node->core->fail_all_runs();
         }
     }
     for (const auto& node : this->earlier_entries) {
--- a/source/unit_tests/whole_path/fleet_agents.cpp
+++ b/source/unit_tests/whole_path/fleet_agents.cpp
@@ -137,7 +137,7 @@
     hooks.current_until = [follower = node.follower] {
         return follower->current_until();
     };
-    hooks.catch_up = [follower = node.follower](common::log_offset wanted) {
+    hooks.fetch_configuration = [follower = node.follower](common::log_offset wanted) {
         follower->expect(wanted);
     };
     node.core = agent::core::create(options, std::move(hooks));
@@ -214,7 +214,7 @@
             if (is_chat && work->call.stream) {
                 work->head("text/event-stream");
             }
-            work->break_off(common::execution::unknown);
+            work->fail(common::execution::unknown);
         });
         return work;
     }
--- a/source/unit_tests/whole_path/schedule.cpp
+++ b/source/unit_tests/whole_path/schedule.cpp
@@ -308,7 +308,7 @@
     }
     for (const auto& name : agent_names) {
         const auto& node = *this->all.agents.at(name);
-        const auto is_done = node.drained_at && node.core->idle();
+        const auto is_done = node.drained_at && node.core->is_idle();
         if (is_done && !node.alive->is_ended()) {
             this->all.kill_agent(name);
         }
--- a/source/unit_tests/whole_path/schedule_checks.cpp
+++ b/source/unit_tests/whole_path/schedule_checks.cpp
@@ -185,7 +185,7 @@
         }
     }
     for (const auto& node : this->drained_agents) {
-        if (!node->alive->is_ended() && !node->core->idle()) {
+        if (!node->alive->is_ended() && !node->core->is_idle()) {
             this->report(promise::shutdown_cuts_nothing, node->server.value() + " is not idle");
         }
     }
