--- a/source/core/placement/affinity.cpp
+++ b/source/core/placement/affinity.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Finaliser of splitmix64: each input bit changes half of the output bits. The hashes of key and
-/// server are good already, but their bare exclusive or would give all keys nearly the same
-/// ranking.
+/// The splitmix64 finaliser: each input bit flips about half of the output bits. Without it, the
+/// plain XOR of a key's hash and a server's hash would rank the servers almost identically for all
+/// keys.
 auto mix(std::uint64_t value) -> std::uint64_t
 {
     value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9ULL;
--- a/source/core/placement/fair_queue.cpp
+++ b/source/core/placement/fair_queue.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-/// Weight of the newest finished request in the smoothed rates.
+/// Weight of the most recently finished request in the exponential averages.
 constexpr double smoothing = 0.1;
 
-/// An organisation may fill up to this many times the room that it leaves free, so that one which
-/// floods the queue always leaves room for the others.
-constexpr std::size_t lane_share_of_free = 2;
+/// An organisation may occupy at most this many times the number of free places in the queue, so
+/// that an organisation which floods the queue leaves places for the others.
+constexpr std::size_t max_flow_share_of_free = 2;
 
-constexpr double least_weight = 1e-3;
+constexpr double min_weight = 1e-3;
 
-auto seconds(double count) -> common::duration
+auto to_duration(double seconds) -> common::duration
 {
-    // Far more than any deadline, far less than what overflows the clock.
-    constexpr double longest = 1e6;
+    // Far longer than any deadline, and far below the overflow of the clock.
+    constexpr double max_seconds = 1e6;
     return std::chrono::duration_cast<common::duration>(
-        std::chrono::duration<double>(std::clamp(count, 0.0, longest)));
+        std::chrono::duration<double>(std::clamp(seconds, 0.0, max_seconds)));
 }
 
 auto refusal(common::result_code code, std::optional<common::time_point> retry_at)
@@ -47,31 +47,32 @@
 
 auto fair_queue::push(queued_request request, common::time_point now) -> common::result<void>
 {
-    if (this->lane_is_full(request.organisation)) {
+    if (this->is_flow_full(request.organisation)) {
         return refusal(common::result_code::queue_full, now + this->estimated_wait());
     }
     const auto run = this->run_time(request.cost.value());
     if (request.deadline != common::never && request.deadline - run < now) {
-        // Even an idle server would be too slow, so that no later time is better.
+        // Even an idle server would be too slow, so a later retry would not help.
         return refusal(common::result_code::deadline_too_near, std::nullopt);
     }
     const auto expected_start = now + this->estimated_wait(request, now);
     auto latest_start = common::never;
     if (request.deadline != common::never) {
-        // One that can start at once needs just the run. The clock goes on between this check and
-        // the start: without the rest of its time it would be given up on before an idle server.
-        auto kept_free = run;
+        // A request that can start immediately needs only its run time. Time passes between this
+        // check and the start: with a margin as well, the request could be removed as infeasible
+        // although the server is idle.
+        auto reserved = run;
         if (expected_start > now) {
-            // Half of the time may always be spent on waiting; else a request whose expected run is
-            // long would be refused whenever it has to wait at all.
+            // Half of the time left may always be spent waiting; otherwise a request with a long
+            // expected run would be refused whenever it has to wait at all.
             const auto margin =
                 std::chrono::duration_cast<common::duration>(run * this->settings.run_margin);
-            kept_free = std::max(run, std::min(margin, (request.deadline - now) / 2));
+            reserved = std::max(run, std::min(margin, (request.deadline - now) / 2));
         }
-        latest_start = request.deadline - kept_free;
+        latest_start = request.deadline - reserved;
     }
     if (expected_start > latest_start) {
-        // The queue has to get shorter by this much before the same request would be accepted.
+        // The expected wait has to shrink by this much before the same request would be accepted.
         const auto excess = expected_start - latest_start;
         return refusal(common::result_code::deadline_too_near, now + excess);
     }
@@ -84,10 +85,11 @@
     if (this->queued_count == 0) {
         return std::nullopt;
     }
-    const auto turn = this->lane_in_turn();
+    const auto turn = this->next_flow();
     const auto& head = turn->second.requests.front().request;
     if (!this->fits(head.cost.value())) {
-        // Smaller ones do not pass it: that gave no shorter waits, see docs/design/placement.md.
+        // Smaller requests do not overtake it; that does not shorten waits. See
+        // docs/design/placement.md.
         return std::nullopt;
     }
     return this->start(turn, 0, now);
@@ -95,27 +97,27 @@
 
 auto fair_queue::take_infeasible(common::time_point now) -> std::vector<queued_request>
 {
-    std::vector<queued_request> hopeless;
+    std::vector<queued_request> infeasible;
     if (now <= this->earliest_check) {
-        return hopeless;
+        return infeasible;
     }
-    // Two passes, since taking an organisation's last request out ends its lane.
-    std::vector<messages::run_key> late;
+    // Two passes, because removing an organisation's last request erases its flow.
+    std::vector<messages::run_key> late_keys;
     this->earliest_check = common::never;
-    for (const auto& [organisation, item] : this->lanes) {
+    for (const auto& [organisation, item] : this->flows) {
         for (const auto& entry : item.requests) {
             if (entry.latest_start < now) {
-                late.push_back(entry.request.key);
+                late_keys.push_back(entry.request.key);
             }
             else {
                 this->earliest_check = std::min(this->earliest_check, entry.latest_start);
             }
         }
     }
-    for (const auto& key : late) {
-        hopeless.push_back(*this->extract(key));
+    for (const auto& key : late_keys) {
+        infeasible.push_back(*this->extract(key));
     }
-    return hopeless;
+    return infeasible;
 }
 
 auto fair_queue::next_check() const -> common::time_point
@@ -123,15 +125,15 @@
     if (this->earliest_check == common::never) {
         return common::never;
     }
-    // At `latest_start` itself a request may still start.
+    // A request may still start at exactly `latest_start`.
     return this->earliest_check + common::duration(1);
 }
 
 auto fair_queue::finish(
     const messages::run_key& key, common::token_count used, common::time_point now) -> void
 {
-    const auto found = this->active.find(key);
-    if (found == this->active.end()) {
+    const auto found = this->running_requests.find(key);
+    if (found == this->running_requests.end()) {
         return;
     }
     const auto elapsed = std::chrono::duration<double>(now - found->second.started).count();
@@ -140,8 +142,8 @@
         smooth(this->stream_rate, tokens / elapsed);
         smooth(this->mean_cost, tokens);
     }
-    this->active_tokens -= found->second.cost;
-    this->active.erase(found);
+    this->running_tokens -= found->second.cost;
+    this->running_requests.erase(found);
 }
 
 auto fair_queue::remove(const messages::run_key& key) -> bool
@@ -151,12 +153,12 @@
 
 auto fair_queue::extract(const messages::run_key& key) -> std::optional<queued_request>
 {
-    for (auto place = this->lanes.begin(); place != this->lanes.end(); ++place) {
-        const auto& requests = place->second.requests;
+    for (auto position = this->flows.begin(); position != this->flows.end(); ++position) {
+        const auto& requests = position->second.requests;
         const auto found = std::ranges::find_if(
-            requests, [&key](const waiting& item) { return item.request.key == key; });
+            requests, [&key](const queued_item& item) { return item.request.key == key; });
         if (found != requests.end()) {
-            return this->erase_at(place, static_cast<std::size_t>(found - requests.begin()));
+            return this->remove_at(position, static_cast<std::size_t>(found - requests.begin()));
         }
     }
     return std::nullopt;
@@ -165,14 +167,14 @@
 auto fair_queue::take_all() -> std::vector<queued_request>
 {
     std::vector<queued_request> all;
-    for (auto& [organisation, item] : this->lanes) {
+    for (auto& [organisation, item] : this->flows) {
         for (auto& entry : item.requests) {
             all.push_back(std::move(entry.request));
         }
     }
-    this->lanes.clear();
-    this->turns.clear();
-    this->turn_credited = false;
+    this->flows.clear();
+    this->flow_order.clear();
+    this->quantum_credited = false;
     this->queued_count = 0;
     this->queued_tokens = 0;
     this->earliest_check = common::never;
@@ -184,16 +186,16 @@
     if (this->queued_count == 0 && this->fits(static_cast<std::uint64_t>(this->mean_cost))) {
         return {};
     }
-    // With all slots taken, one becomes free after a slots-th part of a mean request.
+    // With all slots busy, one becomes free after the mean run time divided by the slot count.
     const auto ahead = static_cast<double>(this->queued_tokens) + this->mean_cost;
-    return seconds(ahead / this->tokens_per_second());
+    return to_duration(ahead / this->tokens_per_second());
 }
 
 auto fair_queue::estimated_wait(const queued_request& request, common::time_point now) const
     -> common::duration
 {
-    const auto queue_time = seconds(this->tokens_ahead(request) / this->tokens_per_second());
-    return this->room_free_at(request.cost.value(), now) - now + queue_time;
+    const auto queue_time = to_duration(this->tokens_ahead(request) / this->tokens_per_second());
+    return this->capacity_available_at(request.cost.value(), now) - now + queue_time;
 }
 
 auto fair_queue::set_capacity(server_capacity capacity) -> void
@@ -203,48 +205,49 @@
 
 auto fair_queue::fits(std::uint64_t cost) const -> bool
 {
-    if (this->active.empty()) {
-        // Also what is larger than the whole capacity runs, alone: the engine is the judge of that.
+    if (this->running_requests.empty()) {
+        // A request larger than the whole capacity runs alone; the engine decides whether it can.
         return true;
     }
     const auto& capacity = this->settings.capacity;
     const auto tokens_left =
-        capacity.tokens.value() == 0 || this->active_tokens + cost <= capacity.tokens.value();
-    return this->active.size() < capacity.slots && tokens_left;
+        capacity.tokens.value() == 0 || this->running_tokens + cost <= capacity.tokens.value();
+    return this->running_requests.size() < capacity.slots && tokens_left;
 }
 
 auto fair_queue::run_time(std::uint64_t cost) const -> common::duration
 {
-    return seconds(static_cast<double>(cost) / this->stream_rate);
+    return to_duration(static_cast<double>(cost) / this->stream_rate);
 }
 
 auto fair_queue::tokens_per_second() const -> double
 {
     const auto& capacity = this->settings.capacity;
-    auto at_once = static_cast<double>(capacity.slots);
+    auto parallel_requests = static_cast<double>(capacity.slots);
     if (capacity.tokens.value() > 0 && this->mean_cost > 0.0) {
-        at_once = std::min(at_once, static_cast<double>(capacity.tokens.value()) / this->mean_cost);
+        parallel_requests = std::min(
+            parallel_requests, static_cast<double>(capacity.tokens.value()) / this->mean_cost);
     }
-    return this->stream_rate * std::max(at_once, 1.0);
+    return this->stream_rate * std::max(parallel_requests, 1.0);
 }
 
 auto fair_queue::tokens_ahead(const queued_request& request) const -> double
 {
     double own_ahead = 0.0;
-    const auto own = this->lanes.find(request.organisation);
-    if (own != this->lanes.end()) {
+    const auto own = this->flows.find(request.organisation);
+    if (own != this->flows.end()) {
         for (const auto& other : own->second.requests) {
             if (other.request.priority >= request.priority) {
                 own_ahead += static_cast<double>(other.request.cost.value());
             }
         }
     }
-    // While this organisation spends its tokens, each other one spends its share beside it, or all
-    // that it has queued.
+    // While this organisation uses its tokens, each other organisation uses its weighted share, but
+    // at most what it has queued.
     const auto own_spends = own_ahead + static_cast<double>(request.cost.value());
-    const auto weight = std::max(request.weight, least_weight);
+    const auto weight = std::max(request.weight, min_weight);
     auto ahead = own_ahead;
-    for (const auto& [organisation, other] : this->lanes) {
+    for (const auto& [organisation, other] : this->flows) {
         if (organisation != request.organisation) {
             const auto share = own_spends * other.weight / weight;
             ahead += std::min(static_cast<double>(other.queued_tokens), share);
@@ -253,21 +256,21 @@
     return ahead;
 }
 
-auto fair_queue::room_free_at(std::uint64_t cost, common::time_point now) const
+auto fair_queue::capacity_available_at(std::uint64_t cost, common::time_point now) const
     -> common::time_point
 {
     if (this->fits(cost)) {
         return now;
     }
     std::vector<std::pair<common::time_point, std::uint64_t>> ends;
-    ends.reserve(this->active.size());
-    for (const auto& [key, item] : this->active) {
+    ends.reserve(this->running_requests.size());
+    for (const auto& [key, item] : this->running_requests) {
         ends.emplace_back(std::max(item.expected_end, now), item.cost);
     }
     std::ranges::sort(ends);
     const auto& capacity = this->settings.capacity;
     auto count = ends.size();
-    auto tokens = this->active_tokens;
+    auto tokens = this->running_tokens;
     for (const auto& [end, freed] : ends) {
         --count;
         tokens -= freed;
@@ -280,103 +283,104 @@
     return ends.back().first;
 }
 
-auto fair_queue::lane_is_full(const common::organisation_id& organisation) const -> bool
+auto fair_queue::is_flow_full(const common::organisation_id& organisation) const -> bool
 {
     if (this->queued_count >= this->settings.max_queued) {
         return true;
     }
-    const auto own = this->lanes.find(organisation);
-    if (own == this->lanes.end()) {
+    const auto own = this->flows.find(organisation);
+    if (own == this->flows.end()) {
         return false;
     }
     const auto free = this->settings.max_queued - this->queued_count;
-    return own->second.requests.size() >= lane_share_of_free * free;
+    return own->second.requests.size() >= max_flow_share_of_free * free;
 }
 
-auto fair_queue::insert(waiting item) -> void
+auto fair_queue::insert(queued_item item) -> void
 {
     const auto cost = item.request.cost.value();
-    const auto [place, is_new] = this->lanes.try_emplace(item.request.organisation);
+    const auto [position, is_new] = this->flows.try_emplace(item.request.organisation);
     if (is_new) {
-        this->turns.push_back(item.request.organisation);
+        this->flow_order.push_back(item.request.organisation);
     }
-    auto& own = place->second;
-    own.weight = std::max(item.request.weight, least_weight);
+    auto& own = position->second;
+    own.weight = std::max(item.request.weight, min_weight);
     own.queued_tokens += cost;
     this->queued_tokens += cost;
     ++this->queued_count;
     this->earliest_check = std::min(this->earliest_check, item.latest_start);
-    const auto behind = std::ranges::find_if(own.requests, [&item](const waiting& other) {
+    const auto behind = std::ranges::find_if(own.requests, [&item](const queued_item& other) {
         return other.request.priority < item.request.priority;
     });
     own.requests.insert(behind, std::move(item));
 }
 
-auto fair_queue::lane_in_turn() -> lane_map::iterator
+auto fair_queue::next_flow() -> flow_map::iterator
 {
     while (true) {
-        const auto place = this->lanes.find(this->turns.front());
-        auto& item = place->second;
-        if (!this->turn_credited) {
-            item.deficit += this->turn_tokens() * item.weight;
-            this->turn_credited = true;
+        const auto position = this->flows.find(this->flow_order.front());
+        auto& item = position->second;
+        if (!this->quantum_credited) {
+            item.deficit += this->quantum() * item.weight;
+            this->quantum_credited = true;
         }
         const auto cost = item.requests.front().request.cost.value();
         if (item.deficit >= static_cast<double>(cost)) {
-            return place;
+            return position;
         }
-        this->end_turn();
+        this->advance_flow();
     }
 }
 
-auto fair_queue::turn_tokens() const -> double
+auto fair_queue::quantum() const -> double
 {
-    // With turns of many requests, a round of all organisations takes longer than deadlines leave,
-    // and the small ones are refused although they ask for less than their share.
+    // With a quantum of many requests, one round over all organisations would take longer than the
+    // deadlines allow, and small organisations would be refused although they use less than their
+    // share.
     return std::max(this->mean_cost, 1.0);
 }
 
-auto fair_queue::end_turn() -> void
+auto fair_queue::advance_flow() -> void
 {
-    this->turns.push_back(this->turns.front());
-    this->turns.pop_front();
-    this->turn_credited = false;
+    this->flow_order.push_back(this->flow_order.front());
+    this->flow_order.pop_front();
+    this->quantum_credited = false;
 }
 
-auto fair_queue::start(lane_map::iterator from, std::size_t index, common::time_point now)
+auto fair_queue::start(flow_map::iterator from, std::size_t index, common::time_point now)
     -> queued_request
 {
     const auto cost = from->second.requests[index].request.cost.value();
     from->second.deficit -= static_cast<double>(cost);
-    auto request = this->erase_at(from, index);
+    auto request = this->remove_at(from, index);
     if (this->mean_cost == 0.0) {
         this->mean_cost = static_cast<double>(cost);
     }
-    this->active[request.key] = {cost, now, now + this->run_time(cost)};
-    this->active_tokens += cost;
+    this->running_requests[request.key] = {cost, now, now + this->run_time(cost)};
+    this->running_tokens += cost;
     return request;
 }
 
-auto fair_queue::erase_at(lane_map::iterator from, std::size_t index) -> queued_request
+auto fair_queue::remove_at(flow_map::iterator from, std::size_t index) -> queued_request
 {
     auto& item = from->second;
-    const auto place = item.requests.begin() + static_cast<std::ptrdiff_t>(index);
-    auto request = std::move(place->request);
-    item.requests.erase(place);
+    const auto position = item.requests.begin() + static_cast<std::ptrdiff_t>(index);
+    auto request = std::move(position->request);
+    item.requests.erase(position);
     item.queued_tokens -= request.cost.value();
     this->queued_tokens -= request.cost.value();
     --this->queued_count;
     if (!item.requests.empty()) {
         return request;
     }
-    // An organisation that has nothing queued saves nothing up for later; else it could later hold
-    // the server for as long as it has been idle.
-    const auto turn = std::ranges::find(this->turns, from->first);
-    if (turn == this->turns.begin()) {
-        this->turn_credited = false;
+    // An organisation without queued requests loses its deficit; otherwise it could accumulate
+    // credit while idle and later monopolise the server.
+    const auto turn = std::ranges::find(this->flow_order, from->first);
+    if (turn == this->flow_order.begin()) {
+        this->quantum_credited = false;
     }
-    this->turns.erase(turn);
-    this->lanes.erase(from);
+    this->flow_order.erase(turn);
+    this->flows.erase(from);
     return request;
 }
 
--- a/source/core/placement/probe_pool.hpp
+++ b/source/core/placement/probe_pool.hpp
@@ -13,54 +13,56 @@
 
 namespace reedramp::placement {
 
-/// What one server said of itself, as far as placement needs it.
+/// A server's answer to a probe, reduced to what placement needs, and updated for the requests that
+/// this entry has sent to the server since.
 struct probe_result {
     common::server_id server;
     /// `affinity_hash(server)`.
     std::uint64_t hash = 0;
     server_distance distance = server_distance::same_data_centre;
-    /// Requests running and queued there, plus those this entry has sent since the answer.
+    /// Requests running and queued at the server, plus those this entry has sent since the answer.
     std::uint32_t in_flight = 0;
-    /// Wait of a new request there, plus the share of those sent since.
+    /// Expected wait of a new request, including the effect of requests sent since the answer.
     common::duration estimated_wait{};
-    /// How much one more request adds to the wait; zero while nothing is queued there.
+    /// How much each further request adds to the wait; zero if nothing was queued at the server.
     common::duration wait_per_request{};
-    /// The answer is not used after this.
+    /// The answer is not used after this time.
     common::time_point expires;
-    /// How many more requests this entry may place by this answer.
+    /// Number of further requests that this entry may place by this answer.
     std::uint32_t uses_left = 0;
 };
 
 struct probe_pool_settings {
-    /// Most answers kept for one version.
+    /// Maximum number of answers kept per version.
     std::size_t capacity = 16;
-    /// How long an answer is used, from its arrival. At a full fleet's rate a server's slots fill
-    /// and empty within a few of these.
+    /// How long an answer is used after its arrival. In a fully loaded fleet, a server's slots fill
+    /// and empty within a few times this.
     common::duration lifetime = std::chrono::milliseconds(100);
-    /// How many requests may be placed by one answer. More would herd all of an entry's requests on
-    /// the server that was free a moment ago.
+    /// Number of requests that may be placed by one answer. A larger number would send all of an
+    /// entry's requests to the server that was idle when it answered.
     std::uint32_t uses = 2;
 };
 
-/// Fresh probe answers of each version's servers, in shards by version. Thread-safe.
+/// The unexpired probe answers of each version's servers, sharded by version. Thread-safe.
 class probe_pool {
 public:
     explicit probe_pool(probe_pool_settings settings);
 
-    /// Takes an answer in; it replaces an older one of the same server. An answer of a server that
-    /// is leaving, or does not serve the version, only removes what was known of it.
+    /// Stores an answer, replacing an older one of the same server. If the server is leaving or
+    /// does not serve the version, its stored answer is only removed.
     auto
     add(const common::version_id& version,
         const messages::probe_answer& answer,
         server_distance distance,
         common::time_point now) -> void;
 
-    /// All answers that can still be used; expired and used-up ones are dropped.
+    /// All answers that can still be used. Removes those that have expired or have no uses left.
     [[nodiscard]] auto fresh(const common::version_id& version, common::time_point now)
         -> std::vector<probe_result>;
 
-    /// Gives the same answers to `action(std::span<const probe>)` without copying them, and returns
-    /// what it returns. It runs under the version's lock and must not call the pool.
+    /// Calls `action(std::span<const probe_result>)` with the same answers, without copying them,
+    /// and returns its result. `action` runs under the lock of the version's shard and must not
+    /// call the pool.
     template <typename Action>
     auto with_fresh(const common::version_id& version, common::time_point now, Action&& action)
         -> decltype(auto)
@@ -75,11 +77,12 @@
         });
     }
 
-    /// A request of this entry goes to the server: its answer counts one more in flight, a longer
-    /// wait, and one use less.
+    /// Records that this entry sends a request to the server: one more request in flight, a longer
+    /// wait and one use less of the server's answer.
     auto record_send(const common::version_id& version, const common::server_id& server) -> void;
 
-    /// The server's connection was closed, or it announced that it leaves.
+    /// Removes the server's answers for all versions, after its connection has closed or it has
+    /// announced that it is leaving.
     auto remove_server(const common::server_id& server) -> void;
 
 private:
--- a/source/core/placement/retry_budget.hpp
+++ b/source/core/placement/retry_budget.hpp
@@ -5,28 +5,28 @@
 namespace reedramp::placement {
 
 struct retry_budget_settings {
-    /// Second tries allowed for each first try.
+    /// Retries allowed per first attempt.
     double retries_per_first_try = 0.1;
-    /// Most second tries that can be saved up; also what a new process starts with.
+    /// Upper bound of the accumulated retries; a new process starts with this many.
     double max_saved = 20.0;
 };
 
-/// Bounds an entry's second tries by a share of its first tries.
+/// Limits an entry's retries to a share of its first attempts.
 ///
-/// Without it, servers that refuse work because they are overloaded get each request several times
-/// and so stay overloaded after the surge is over. With it, retries add at most the stated share.
-/// Thread-safe.
+/// Without this limit, overloaded servers that refuse work would receive each request several times
+/// and stay overloaded after the surge has ended. With it, retries add at most the configured share
+/// to the load. Thread-safe.
 class retry_budget {
 public:
     explicit retry_budget(retry_budget_settings settings);
 
-    /// What is saved up stays, up to the new bound.
+    /// Replaces the settings; the accumulated retries are kept up to the new bound.
     auto update_settings(retry_budget_settings settings) -> void;
 
     auto record_first_attempt() -> void;
 
-    /// True if one more try may be made now; it is then counted. A try that is a matter of choice
-    /// leaves `reserve` tries to those without which a request fails.
+    /// Consumes one retry; false if the budget is exhausted. A caller whose retry is optional
+    /// passes `reserve`, the number of retries to leave for requests that fail without one.
     [[nodiscard]] auto try_acquire_retry(double reserve = 0.0) -> bool;
 
 private:
--- a/source/core/placement/server_selector.cpp
+++ b/source/core/placement/server_selector.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// How many servers may hold the cache of one session or prefix.
+/// Number of servers that may hold the cache of one session or prefix.
 constexpr std::size_t preferred_servers = 2;
 
 auto contains(const std::vector<common::server_id>& servers, const common::server_id& wanted)
@@ -17,9 +17,9 @@
     return std::ranges::find(servers, wanted) != servers.end();
 }
 
-/// The servers where this request's cache is likely to be, the likeliest first: its requests go to
-/// the second one when the first is busy. A session's own servers go before those of its prefix,
-/// since they hold the longer part of the conversation.
+/// The servers that are likely to hold this request's cache, most likely first: a request goes to
+/// the second server if the first is busy. A request with a session uses the session's servers
+/// rather than those of its prefix, because they hold more of the conversation.
 auto preferred_for(const placement_request& request, std::span<const candidate> candidates)
     -> std::vector<std::size_t>
 {
@@ -30,7 +30,7 @@
     return preferred_candidates(candidates, key, preferred_servers);
 }
 
-/// Indexes of the candidates of this region, or of the other ones, that are not excluded.
+/// Indexes of the candidates that are not excluded, either of this region or of the other regions.
 auto indexes_of(const placement_request& request, std::span<const candidate> candidates, bool near)
     -> std::vector<std::size_t>
 {
@@ -45,7 +45,8 @@
     return indexes;
 }
 
-/// True if some fresh answer says that its server would start the request at once.
+/// True if a server that is not excluded would start the request immediately, according to its
+/// fresh probe result.
 auto has_free_server(const placement_request& request, std::span<const probe_result> fresh) -> bool
 {
     return std::ranges::any_of(fresh, [&request](const probe_result& item) {
@@ -54,53 +55,56 @@
     });
 }
 
-/// True for a candidate that may be asked and is neither known already nor in `to`.
+/// True for a candidate that may be probed: not excluded, without a result in `known`, and not in
+/// `targets` yet.
 struct probe_filter {
     const placement_request& request;
     std::span<const candidate> candidates;
     std::span<const probe_result> known;
-    const std::vector<std::size_t>& to;
+    const std::vector<std::size_t>& targets;
 
     auto operator()(std::size_t index) const -> bool
     {
         const auto& item = this->candidates[index];
         return std::ranges::find(this->known, item.hash, &probe_result::hash) ==
                    this->known.end() &&
-               std::ranges::find(this->to, index) == this->to.end() &&
+               std::ranges::find(this->targets, index) == this->targets.end() &&
                !contains(this->request.excluded, item.server);
     }
 };
 
-/// Adds one random candidate of this region (or of another one) to `to`. False if there is none.
-auto draw(
+/// Adds a random candidate of this region, or of the other regions, to `targets`. False if there is
+/// none.
+auto add_random_target(
     const probe_filter& allowed,
     bool near,
-    std::vector<std::size_t>& to,
+    std::vector<std::size_t>& targets,
     const common::random_hook& random) -> bool
 {
-    const auto is_wanted = [&allowed, near](std::size_t index) {
+    const auto is_eligible = [&allowed, near](std::size_t index) {
         const auto is_near = allowed.candidates[index].distance != server_distance::other_region;
         return is_near == near && allowed(index);
     };
-    // Nearly all candidates may be asked, so that a few throws mostly find one without a list.
+    // Nearly all candidates are eligible, so a few random draws usually find one without building a
+    // list.
     constexpr int max_draws = 4;
-    for (int turn = 0; turn < max_draws && !allowed.candidates.empty(); ++turn) {
+    for (int attempt = 0; attempt < max_draws && !allowed.candidates.empty(); ++attempt) {
         const auto index = static_cast<std::size_t>(random() % allowed.candidates.size());
-        if (is_wanted(index)) {
-            to.push_back(index);
+        if (is_eligible(index)) {
+            targets.push_back(index);
             return true;
         }
     }
-    std::vector<std::size_t> wanted;
+    std::vector<std::size_t> eligible;
     for (std::size_t index = 0; index < allowed.candidates.size(); ++index) {
-        if (is_wanted(index)) {
-            wanted.push_back(index);
+        if (is_eligible(index)) {
+            eligible.push_back(index);
         }
     }
-    if (wanted.empty()) {
+    if (eligible.empty()) {
         return false;
     }
-    to.push_back(wanted[random() % wanted.size()]);
+    targets.push_back(eligible[random() % eligible.size()]);
     return true;
 }
 
@@ -114,12 +118,12 @@
         loads.push_back(item->in_flight);
     }
     const auto last = static_cast<double>(loads.size() - 1);
-    const auto place = static_cast<std::ptrdiff_t>(std::floor(quantile * last));
-    std::ranges::nth_element(loads, loads.begin() + place);
-    return loads[static_cast<std::size_t>(place)];
+    const auto rank = static_cast<std::ptrdiff_t>(std::floor(quantile * last));
+    std::ranges::nth_element(loads, loads.begin() + rank);
+    return loads[static_cast<std::size_t>(rank)];
 }
 
-/// The best probe of another server than the chosen one.
+/// The best server other than the selected one.
 auto runner_up(const probe_list& best_first, const probe_result& chosen)
     -> std::optional<common::server_id>
 {
@@ -162,7 +166,7 @@
     }
     pool.with_fresh(request.version, now, [&](std::span<const probe_result> fresh) {
         if (round == 0 || !has_free_server(request, fresh)) {
-            this->fill(made.targets, request, candidates, fresh, round, random);
+            this->add_targets(made.targets, request, candidates, fresh, round, random);
         }
     });
     if (!made.targets.empty()) {
@@ -171,7 +175,7 @@
     return made;
 }
 
-auto server_selector::fill(
+auto server_selector::add_targets(
     std::vector<std::size_t>& targets,
     const placement_request& request,
     std::span<const candidate> candidates,
@@ -179,23 +183,24 @@
     std::size_t round,
     const common::random_hook& random) const -> void
 {
-    const auto wanted = this->settings.probes_by_round[round];
+    const auto target_count = this->settings.probes_by_round[round];
     const probe_filter unknown{request, candidates, fresh, targets};
     for (const auto index : preferred_for(request, candidates)) {
-        if (targets.size() < wanted && unknown(index)) {
+        if (targets.size() < target_count && unknown(index)) {
             targets.push_back(index);
         }
     }
-    // The first round asks even a known server, since a later answer is a better one.
+    // The first round also probes servers with a fresh result, because a newer one is more
+    // accurate.
     const auto allowed = round == 0 ? probe_filter{request, candidates, {}, targets}
                                     : probe_filter{request, candidates, fresh, targets};
     const auto has_near = std::ranges::any_of(candidates, [](const candidate& item) {
         return item.distance != server_distance::other_region;
     });
-    while (targets.size() < wanted && draw(allowed, has_near, targets, random)) {
+    while (targets.size() < target_count && add_random_target(allowed, has_near, targets, random)) {
     }
     if (has_near && this->nearby_servers_are_busy(fresh)) {
-        draw(allowed, false, targets, random);
+        add_random_target(allowed, false, targets, random);
     }
 }
 
@@ -207,17 +212,17 @@
     const common::random_hook& random) const -> std::optional<placement>
 {
     const auto by_probes = [&](std::span<const probe_result> fresh) {
-        return this->place_probed(request, candidates, fresh, random);
+        return this->place_by_probes(request, candidates, fresh, random);
     };
     auto chosen = pool.with_fresh(request.version, now, by_probes);
     if (!chosen) {
-        return this->place_unprobed(request, candidates, random);
+        return this->place_randomly(request, candidates, random);
     }
     pool.record_send(request.version, chosen->server);
     return chosen;
 }
 
-auto server_selector::place_probed(
+auto server_selector::place_by_probes(
     const placement_request& request,
     std::span<const candidate> candidates,
     std::span<const probe_result> fresh,
@@ -225,7 +230,7 @@
 {
     probe_list probes;
     for (const auto& item : fresh) {
-        // A server that membership has removed since must get nothing, however fresh its answer.
+        // A server that membership has removed must not be selected, even if its result is fresh.
         const auto known = std::ranges::find(candidates, item.hash, &candidate::hash);
         if (known != candidates.end() && !contains(request.excluded, item.server)) {
             probes.push_back(&item);
@@ -235,17 +240,17 @@
         return std::nullopt;
     }
     const auto limit = hot_threshold(probes, this->settings.hot_quantile);
-    // Equal probes are taken in random order; else all entries would agree on the first.
+    // Equal results are ordered randomly; otherwise all entries would select the same server.
     const auto first = static_cast<std::ptrdiff_t>(random() % probes.size());
     std::rotate(probes.begin(), probes.begin() + first, probes.end());
     std::ranges::stable_sort(probes, {}, [&](const probe_result* item) {
         const auto hot = item->in_flight > limit;
         return std::tuple(hot, this->expected_wait(*item), item->in_flight, item->distance);
     });
-    return this->take(request, candidates, probes);
+    return this->select_by_affinity(request, candidates, probes);
 }
 
-auto server_selector::take(
+auto server_selector::select_by_affinity(
     const placement_request& request,
     std::span<const candidate> candidates,
     const std::vector<const probe_result*>& best_first) const -> placement
@@ -271,7 +276,7 @@
         best.estimated_wait};
 }
 
-auto server_selector::place_unprobed(
+auto server_selector::place_randomly(
     const placement_request& request,
     std::span<const candidate> candidates,
     const common::random_hook& random) const -> std::optional<placement>
@@ -300,8 +305,8 @@
 
 auto server_selector::expected_wait(const probe_result& item) const -> common::duration
 {
-    // Trips within a region are left out: they are far shorter than the waits of requests, and with
-    // them all requests would go to their own data centre's servers until these are full.
+    // Latency within a region is ignored: it is far shorter than the waits of requests, and with it
+    // all requests would go to servers of their own data centre until those are full.
     const auto is_far = item.distance == server_distance::other_region;
     return item.estimated_wait +
            (is_far ? this->settings.inter_region_latency : common::duration(0));
--- a/source/core/placement/server_selector.hpp
+++ b/source/core/placement/server_selector.hpp
@@ -16,51 +16,54 @@
 
 namespace reedramp::placement {
 
-/// Why a server was chosen; goes into the decision's log line.
+/// Why a server was selected; written to the decision's log line.
 enum class placement_reason : std::uint8_t {
-    /// The session's server, within the bound.
+    /// One of the session's preferred servers, whose wait is within the affinity allowance.
     session_server,
-    /// The prefix's server, within the bound.
+    /// One of the prompt prefix's preferred servers, whose wait is within the affinity allowance.
     prefix_server,
-    /// The least wait among the probed servers that are not hot.
+    /// The shortest expected wait among the probed servers that are not hot.
     least_wait,
-    /// No fresh probe: a random near server.
+    /// No usable probe result; a random server, of this region if there is one.
     unprobed,
 };
 
 auto to_string(placement_reason reason) -> std::string_view;
 
 struct server_selector_settings {
-    /// Servers probed in each round. The next round is asked only while all that answered are busy.
+    /// Number of servers probed in each round. A further round is run only if all servers that have
+    /// answered are busy.
     std::array<std::size_t, 3> probes_by_round{1, 2, 4};
-    /// How long a request waits for its probes' answers; then it is placed by what is there.
+    /// How long a request waits for probe answers before it is placed by those that have arrived.
     common::duration probe_timeout = std::chrono::milliseconds(20);
-    /// A server is hot when its requests in flight are above this quantile of the fresh probes.
+    /// A server is hot if its requests in flight exceed this quantile over the fresh probe results.
     double hot_quantile = 0.84;
-    /// Trip to another region, added to the wait of a server there.
+    /// Added to the expected wait of a server in another region.
     common::duration inter_region_latency = std::chrono::milliseconds(15);
-    /// One server of another region is probed too when all fresh near probes wait longer than this.
+    /// A server of another region is probed as well if all fresh probe results of this region have
+    /// a longer expected wait than this.
     common::duration spill_threshold = std::chrono::seconds(2);
-    /// Wait that a session's or prefix's kept cache is worth: about the prefill time that it saves.
+    /// Additional wait accepted for a server that probably holds the cache of the session or
+    /// prefix: about the prefill time that the cache saves.
     common::duration affinity_wait_allowance = std::chrono::milliseconds(50);
 };
 
-/// What placement has to know of a request.
+/// The properties of a request that its placement depends on.
 struct placement_request {
     common::version_id version;
     /// `affinity_hash` of the session, or zero.
     std::uint64_t session_hash = 0;
     /// `affinity_hash` of the prompt's prefix, or zero.
     std::uint64_t prefix_hash = 0;
-    /// Servers that have refused this request already; never chosen.
+    /// Servers that have already refused this request; never selected.
     std::vector<common::server_id> excluded;
 };
 
-/// Which servers to ask before placing.
+/// Which servers to probe before placing a request.
 struct probe_plan {
     /// Indexes into the candidates.
     std::vector<std::size_t> targets;
-    /// Place when all have answered, at this time at the latest.
+    /// The request is placed when all targets have answered, or at this time.
     common::time_point place_by;
 };
 
@@ -72,15 +75,15 @@
     common::duration expected_wait{};
 };
 
-/// Chooses backend servers for requests of one entry. Stateless but for the settings; the state is
-/// in the pool. Thread-safe.
+/// Selects backend servers for one entry's requests. Its only state is the settings; the probe
+/// results are in the pool. Thread-safe.
 class server_selector {
 public:
     explicit server_selector(server_selector_settings settings);
 
-    /// First step, for each round from 0 on: which servers to probe for this request, those that
-    /// are likely to hold its cache first. Nothing to ask in a later round means: place. Most
-    /// requests need one round, so that few probes find what many would.
+    /// First step, called for each round from 0: which servers to probe for this request, starting
+    /// with those that are likely to hold its cache. If a later round has no targets, the request
+    /// is to be placed. Most requests need one round, which keeps the number of probes low.
     [[nodiscard]] auto plan(
         const placement_request& request,
         std::span<const candidate> candidates,
@@ -89,8 +92,8 @@
         common::time_point now,
         const common::random_hook& random) const -> probe_plan;
 
-    /// Last step, when the answers are in the pool: the server. Empty if no candidate is left.
-    /// The pool then counts the request on that server.
+    /// Last step, once the answers are in the pool: selects a server and records the request in the
+    /// pool. Empty if no candidate is left.
     [[nodiscard]] auto place(
         const placement_request& request,
         std::span<const candidate> candidates,
@@ -99,23 +102,23 @@
         const common::random_hook& random) const -> std::optional<placement>;
 
 private:
-    auto fill(
+    auto add_targets(
         std::vector<std::size_t>& targets,
         const placement_request& request,
         std::span<const candidate> candidates,
         std::span<const probe_result> fresh,
         std::size_t round,
         const common::random_hook& random) const -> void;
-    [[nodiscard]] auto place_probed(
+    [[nodiscard]] auto place_by_probes(
         const placement_request& request,
         std::span<const candidate> candidates,
         std::span<const probe_result> fresh,
         const common::random_hook& random) const -> std::optional<placement>;
-    [[nodiscard]] auto take(
+    [[nodiscard]] auto select_by_affinity(
         const placement_request& request,
         std::span<const candidate> candidates,
         const std::vector<const probe_result*>& best_first) const -> placement;
-    [[nodiscard]] auto place_unprobed(
+    [[nodiscard]] auto place_randomly(
         const placement_request& request,
         std::span<const candidate> candidates,
         const common::random_hook& random) const -> std::optional<placement>;
--- a/source/unit_tests/placement/fair_queue_test.cpp
+++ b/source/unit_tests/placement/fair_queue_test.cpp
@@ -30,7 +30,7 @@
     return made;
 }
 
-/// One slot, 100 tokens a second: a request of 100 takes a second.
+/// One slot with 100 tokens per second: a request of 100 tokens takes a second.
 auto one_slot() -> fair_queue_settings
 {
     fair_queue_settings settings;
@@ -40,7 +40,8 @@
     return settings;
 }
 
-/// Runs whatever the queue gives one after the other; tokens started by organisation.
+/// Runs `count` requests from the queue one after the other; returns the tokens started by
+/// organisation.
 auto serve(fair_queue& queue, int count) -> std::map<std::string, std::uint64_t>
 {
     std::map<std::string, std::uint64_t> tokens;
@@ -57,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("organisations share a server by weight, in tokens", "[fair_queue]")
+TEST_CASE("organisations share a server's tokens by weight", "[fair_queue]")
 {
     struct row {
         const char* name;
@@ -71,15 +72,15 @@
         row{"equal requests", 100, 100, 1.0, 0.5},
         row{"large requests against small ones", 400, 50, 1.0, 0.5},
         row{"three times the weight", 100, 100, 3.0, 0.75},
-        row{"requests larger than a round's tokens", 1000, 100, 1.0, 0.5});
+        row{"requests larger than the quantum", 1000, 100, 1.0, 0.5});
     INFO(name);
     auto settings = one_slot();
     settings.max_queued = 10'000;
     fair_queue queue(settings);
     for (std::uint64_t number = 0; number < 600; ++number) {
-        auto of_a = request(2 * number, "a", cost_a);
-        of_a.weight = weight_a;
-        REQUIRE(queue.push(of_a, start));
+        auto request_a = request(2 * number, "a", cost_a);
+        request_a.weight = weight_a;
+        REQUIRE(queue.push(request_a, start));
         REQUIRE(queue.push(request(2 * number + 1, "b", cost_b), start));
     }
     const auto tokens = serve(queue, 300);
@@ -87,7 +88,7 @@
     CHECK(static_cast<double>(tokens.at("a")) / total == Approx(share_a).margin(0.04));
 }
 
-TEST_CASE("priority orders one organisation and not the others", "[fair_queue]")
+TEST_CASE("priority orders requests of one organisation only", "[fair_queue]")
 {
     fair_queue queue(one_slot());
     for (std::uint64_t number = 0; number < 4; ++number) {
@@ -101,11 +102,11 @@
     CHECK(queue.pop(start + 1s)->organisation.value() == "b");
 }
 
-TEST_CASE("what cannot finish in time is refused at once", "[fair_queue]")
+TEST_CASE("a request that cannot finish in time is refused immediately", "[fair_queue]")
 {
-    // One request of a second runs and `ahead` more are queued. The caller sees a refusal the
-    // moment it asks, with the time from which the same request would be accepted; it isn't left
-    // to wait for an answer that comes too late.
+    // One request of a second is running and `ahead` more are queued. The refusal carries the time
+    // from which the same request would be accepted, so that the caller does not wait for an answer
+    // that would come too late.
     struct row {
         std::uint64_t ahead;
         std::uint64_t cost;
@@ -139,11 +140,11 @@
     }
 }
 
-TEST_CASE("a request that has to wait keeps a margin for a long run", "[fair_queue]")
+TEST_CASE("a request that has to wait reserves a margin for a long run", "[fair_queue]")
 {
-    // Runs take a second on average and often more. Waiting until the deadline leaves just the mean
-    // gives callers answers that come too late, after the server has spent its time on them. The
-    // margin is three runs, but no more than half of the time that is left.
+    // Runs take a second on average and often longer. If a request could wait until only the mean
+    // run time is left, many answers would miss their deadline after the server has done the work.
+    // The margin is three runs, but at most half of the time left.
     struct row {
         std::uint64_t ahead;
         std::chrono::milliseconds deadline;
@@ -172,11 +173,11 @@
     CHECK(queue.pop(start).has_value() == (accepted && ahead == 0));
 }
 
-TEST_CASE("a long request to an idle server is not given up on before it starts", "[fair_queue]")
+TEST_CASE("a long request to an idle server is not removed before it starts", "[fair_queue]")
 {
-    // A caller that names no length gets an answer, though three expected runs are longer than the
-    // deadline leaves. The agent's clock moves on a little between taking the request and starting
-    // it; with nothing left but the moment of the check, each such request would be refused.
+    // A request without a length hint is accepted although three expected runs are longer than its
+    // deadline allows. The clock advances between accepting and starting it; if the latest start
+    // were the time of the check, every such request would be refused.
     auto settings = one_slot();
     settings.run_margin = 3.0;
     fair_queue queue(settings);
@@ -185,24 +186,24 @@
     CHECK(queue.pop(start + 1ms));
 }
 
-TEST_CASE("a queued request is given up on as soon as it can't finish", "[fair_queue]")
+TEST_CASE("a queued request is removed as soon as it cannot finish in time", "[fair_queue]")
 {
-    // The running request takes longer than expected. The one behind it had until second 2 to
-    // start; just after that it comes out, to be refused at once, and not at its deadline.
+    // The running request takes longer than expected. The next one has to start by second 2 and is
+    // removed right after that, to be refused then rather than at its deadline.
     fair_queue queue(one_slot());
     REQUIRE(queue.push(request(1, "a", 100), start));
     REQUIRE(queue.pop(start));
     REQUIRE(queue.push(request(2, "b", 100, start + 3s), start));
     CHECK(queue.next_check() == start + 2s + 1ns);
     CHECK(queue.take_infeasible(start + 2s).empty());
-    const auto hopeless = queue.take_infeasible(queue.next_check());
-    REQUIRE(hopeless.size() == 1);
-    CHECK(hopeless[0].key.request.low == 2);
+    const auto infeasible = queue.take_infeasible(queue.next_check());
+    REQUIRE(infeasible.size() == 1);
+    CHECK(infeasible[0].key.request.low == 2);
     CHECK(queue.next_check() == common::never);
     CHECK(queue.queued() == 0);
 }
 
-TEST_CASE("an organisation that floods the queue leaves room for others", "[fair_queue]")
+TEST_CASE("an organisation that floods the queue leaves places for others", "[fair_queue]")
 {
     auto settings = one_slot();
     settings.max_queued = 30;
@@ -218,10 +219,11 @@
     CHECK(queue.push(request(1000, "other", 10), start));
 }
 
-TEST_CASE("a large request is not passed by small ones while it waits for room", "[fair_queue]")
+TEST_CASE("small requests do not overtake a large one that waits for capacity", "[fair_queue]")
 {
-    // Two slots and 100 tokens of room, 60 of them taken. The request of 80 has the turn and does
-    // not fit; the one of 10 behind it would. If small ones went on passing, it would never start.
+    // Two slots and 100 tokens of capacity, 60 of them in use. The request of 80 is next and does
+    // not fit; the request of 10 behind it would. If small requests could overtake, the large one
+    // might never start.
     auto settings = one_slot();
     settings.capacity = {2, common::token_count(100)};
     fair_queue queue(settings);
@@ -235,7 +237,7 @@
     CHECK(queue.pop(start + 600ms)->key.request.low == 3);
 }
 
-TEST_CASE("a request leaves the queue in each way exactly once", "[fair_queue]")
+TEST_CASE("a request leaves the queue exactly once, by removal, pop or shutdown", "[fair_queue]")
 {
     fair_queue queue(one_slot());
     for (std::uint64_t number = 1; number <= 5; ++number) {
--- a/source/unit_tests/placement/retry_budget_test.cpp
+++ b/source/unit_tests/placement/retry_budget_test.cpp
@@ -2,10 +2,10 @@
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("second tries stay under their share of first tries", "[retry_budget]")
+TEST_CASE("retries stay within their share of first attempts", "[retry_budget]")
 {
-    // Every server refuses. The entry would try each request again and so double the load; after
-    // what was saved up is spent, one request in ten is tried again and the others are refused.
+    // Guards against retries multiplying the load while all servers refuse: once the accumulated
+    // retries are spent, only one request in ten is retried.
     reedramp::placement::retry_budget budget({.retries_per_first_try = 0.1, .max_saved = 5.0});
     int retries = 0;
     for (int request = 0; request < 1000; ++request) {
--- a/source/unit_tests/placement/server_selector_test.cpp
+++ b/source/unit_tests/placement/server_selector_test.cpp
@@ -61,8 +61,7 @@
 
 } // namespace
 
-TEST_CASE(
-    "a probe's answer is used a bounded number of times and for a bounded time", "[probe_pool]")
+TEST_CASE("a probe answer is used a limited number of times and for a limited time", "[probe_pool]")
 {
     probe_pool pool({.capacity = 2, .lifetime = 1s, .uses = 2});
     const common::server_id server("s0");
@@ -83,32 +82,32 @@
     CHECK(pool.fresh(common::version_id("v2"), start).empty());
 }
 
-TEST_CASE("what removes a server from the pool", "[probe_pool]")
+TEST_CASE("a leaving, unusable or evicted server is removed from the pool", "[probe_pool]")
 {
-    // A leaving server answers a last probe, or its connection closes. From then on no request of
-    // this entry may go there, although an answer of it is still fresh.
-    const auto way = GENERATE("leaving", "other version", "forgotten", "pushed out");
+    // A server that answers a probe while leaving, or whose connection has closed, must not get
+    // further requests, even if an earlier answer of it is still fresh.
+    const auto cause = GENERATE("leaving", "other version", "removed", "evicted");
     probe_pool pool({.capacity = 2, .lifetime = 10s, .uses = 2});
     pool.add(version, answer("s0", 1, 0ms), server_distance::same_region, start);
-    auto news = answer("s0", 1, 0ms);
-    news.leaving = way == std::string("leaving");
-    news.serves_version = way != std::string("other version");
-    if (way == std::string("forgotten")) {
+    auto newer = answer("s0", 1, 0ms);
+    newer.leaving = cause == std::string("leaving");
+    newer.serves_version = cause != std::string("other version");
+    if (cause == std::string("removed")) {
         pool.remove_server(common::server_id("s0"));
     }
-    else if (way == std::string("pushed out")) {
+    else if (cause == std::string("evicted")) {
         pool.add(version, answer("s1", 1, 0ms), server_distance::same_region, start + 1s);
         pool.add(version, answer("s2", 1, 0ms), server_distance::same_region, start + 2s);
     }
     else {
-        pool.add(version, news, server_distance::same_region, start);
+        pool.add(version, newer, server_distance::same_region, start);
     }
     for (const auto& item : pool.fresh(version, start)) {
         CHECK(item.server.value() != "s0");
     }
 }
 
-TEST_CASE("the least wait among servers that are not hot is taken", "[chooser]")
+TEST_CASE("the server with the shortest wait that is not hot is selected", "[chooser]")
 {
     struct row {
         const char* name;
@@ -123,11 +122,11 @@
             {answer("s0", 2, 0ms), answer("s1", 1, 0ms)},
             "s1",
             "s0"},
-        row{"a trip within the region is no wait",
+        row{"latency within the region is ignored",
             {answer("s0", 1, 0ms), answer("s1", 2, 0ms)},
             "s0",
             "s1"},
-        row{"a hot one says it is free",
+        row{"a hot server reports no wait",
             {answer("s0", 1, 60ms), answer("s1", 90, 0ms), answer("s2", 2, 80ms)},
             "s0",
             "s2"},
@@ -136,7 +135,7 @@
     INFO(name);
     probe_pool pool({});
     for (const auto& item : answers) {
-        // The second server is in this entry's own data centre.
+        // Server s1 is in this entry's own data centre.
         const auto is_own = item.server.value() == "s1";
         const auto distance =
             is_own ? server_distance::same_data_centre : server_distance::same_region;
@@ -152,10 +151,10 @@
     CHECK(placed->runner_up.value_or(common::server_id("")).value() == runner_up);
 }
 
-TEST_CASE("a session's own servers are taken within the bound, in their order", "[chooser]")
+TEST_CASE("a session's preferred servers are selected within the allowance, in order", "[chooser]")
 {
-    // The best other server waits 10 ms and a kept cache is worth 300 ms. Past that bound a request
-    // waits longer for its session's server than the cache saves it.
+    // The best other server has a wait of 10 ms, and a cached session justifies 300 ms more. Beyond
+    // that, a request would wait longer for its session's server than the cache saves.
     struct row {
         common::duration first_wait;
         common::duration second_wait;
@@ -173,17 +172,17 @@
     server_selector_settings settings;
     settings.affinity_wait_allowance = 300ms;
     settings.hot_quantile = 1.0;
-    const server_selector place_by(settings);
+    const server_selector selector(settings);
     const auto candidates = candidates_of(8);
     auto request = plain_request();
     request.session_hash = placement::affinity_hash("session");
     const auto ranked = placement::preferred_candidates(candidates, request.session_hash, 3);
     probe_pool pool({});
-    const auto plan = place_by.plan(request, candidates, pool, 0, start, random_from(1));
+    const auto plan = selector.plan(request, candidates, pool, 0, start, random_from(1));
     CHECK(plan.targets == std::vector{ranked[0]});
     auto busy = answer(candidates[ranked[0]].server.value(), 3, 1s);
     pool.add(version, busy, server_distance::same_region, start);
-    const auto next = place_by.plan(request, candidates, pool, 1, start, random_from(1));
+    const auto next = selector.plan(request, candidates, pool, 1, start, random_from(1));
     REQUIRE(next.targets.size() == 2);
     CHECK(next.targets[0] == ranked[1]);
     const std::array waits{first_wait, second_wait, common::duration(10ms)};
@@ -192,13 +191,13 @@
         pool.add(
             version, answer(server.value(), 3, waits[rank]), server_distance::same_region, start);
     }
-    const auto placed = place_by.place(request, candidates, pool, start, random_from(1));
+    const auto placed = selector.place(request, candidates, pool, start, random_from(1));
     REQUIRE(placed);
     CHECK(placed->server == candidates[ranked[taken]].server);
     CHECK(placed->reason == reason);
 }
 
-TEST_CASE("rendezvous spreads keys evenly and moves only those of a lost server", "[affinity]")
+TEST_CASE("rendezvous hashing is balanced and moves only a removed server's keys", "[affinity]")
 {
     const auto before = candidates_of(10);
     auto after = before;
@@ -219,7 +218,7 @@
     CHECK_FALSE(placement::preferred_candidates({}, 1));
 }
 
-TEST_CASE("which servers are probed", "[chooser]")
+TEST_CASE("the probe targets depend on the round, the region and the known waits", "[chooser]")
 {
     struct row {
         const char* name;
@@ -232,14 +231,14 @@
     };
 
     const auto [name, near, far, near_wait, round, asked, asked_far] = GENERATE(
-        row{"near ones only", 8, 8, 0s, 0, 1, 0},
-        row{"a near one is free", 8, 8, 0s, 1, 0, 0},
-        row{"the near one known is busy", 8, 8, 1s, 1, 2, 0},
-        row{"and too busy for this region", 8, 8, 3s, 1, 3, 1},
-        row{"there are no near ones", 0, 8, 0s, 1, 2, 2},
-        row{"fewer than wanted", 3, 0, 1s, 2, 2, 0},
-        row{"rounds are over", 8, 8, 3s, 3, 0, 0},
-        row{"none", 0, 0, 0s, 0, 0, 0});
+        row{"first round: this region only", 8, 8, 0s, 0, 1, 0},
+        row{"a server of this region is free", 8, 8, 0s, 1, 0, 0},
+        row{"the known server of this region is busy", 8, 8, 1s, 1, 2, 0},
+        row{"busy beyond the spill threshold", 8, 8, 3s, 1, 3, 1},
+        row{"no servers in this region", 0, 8, 0s, 1, 2, 2},
+        row{"fewer servers than targets", 3, 0, 1s, 2, 2, 0},
+        row{"no rounds left", 8, 8, 3s, 3, 0, 0},
+        row{"no servers", 0, 0, 0s, 0, 0, 0});
     INFO(name);
     const auto candidates = candidates_of(near, far);
     probe_pool pool({});
@@ -256,7 +255,7 @@
     CHECK(std::ranges::count_if(plan.targets, is_far) == static_cast<std::ptrdiff_t>(asked_far));
 }
 
-TEST_CASE("more servers are probed only when all known ones are busy", "[chooser]")
+TEST_CASE("more servers are probed only if all known ones are busy", "[chooser]")
 {
     struct row {
         const char* name;
@@ -284,7 +283,8 @@
     }
 }
 
-TEST_CASE("without fresh probes a random near server is taken, never an excluded one", "[chooser]")
+TEST_CASE(
+    "without fresh probe results a random server that is not excluded is selected", "[chooser]")
 {
     const auto candidates = candidates_of(2, 2);
     probe_pool pool({});
