--- a/source/core/policy/option_choice.cpp
+++ b/source/core/policy/option_choice.cpp
@@ -9,17 +9,17 @@
 
 constexpr std::uint64_t share_denominator = 1000;
 
-/// Change of the price of quality for a shortfall of one, in costs of the dearest option; chosen by
-/// measurement, see docs/design/policy.md.
-constexpr double price_step = 1.0;
+/// Change of the price of quality per unit of shortfall, as a multiple of the cost of the most
+/// expensive option. See docs/design/policy.md.
+constexpr double price_gain = 1.0;
 
-/// Highest price of quality, in costs of the dearest option for one unit.
+/// Maximum price of one unit of quality, as a multiple of the cost of the most expensive option.
 constexpr double price_ceiling = 30.0;
 
-/// Held above the target.
-constexpr double target_pad = 0.002;
+/// The controller aims this much above the target.
+constexpr double target_margin = 0.002;
 
-auto allowed(const option& candidate, const choice_input& input) -> bool
+auto is_allowed(const option& candidate, const choice_input& input) -> bool
 {
     if (candidate.key.second && !input.may_cascade) {
         return false;
@@ -30,8 +30,8 @@
     return candidate.expected_time <= input.time_left;
 }
 
-/// Options that could turn out to be cheaper at the target than `best`.
-auto worth_exploring(
+/// Options that may turn out to meet the target at a lower cost than `best`.
+auto find_exploration_candidates(
     const std::vector<const option*>& candidates, const option& best, double target)
     -> std::vector<const option*>
 {
@@ -56,7 +56,8 @@
     return left->quality.mean > right->quality.mean;
 }
 
-/// Those that meet the target first, cheapest in front; then the others, best bound in front.
+/// Sorts options that meet the target first, by increasing cost, then the others by decreasing
+/// lower bound.
 auto sort_by_target(std::vector<const option*>& candidates, double target) -> void
 {
     std::ranges::sort(candidates, [target](const option* left, const option* right) {
@@ -71,12 +72,12 @@
         if (left->quality.lower != right->quality.lower) {
             return left->quality.lower > right->quality.lower;
         }
-        // Nothing is known of either; the dearer one is the safer guess.
+        // The bounds do not distinguish the two; the more expensive option is the safer one.
         return left->expected_cost > right->expected_cost;
     });
 }
 
-/// Lowest cost in front after quality has been paid for.
+/// Sorts by increasing cost net of the value of the quality.
 auto sort_by_price(std::vector<const option*>& candidates, double price) -> void
 {
     const auto value = [price](const option* each) {
@@ -114,7 +115,7 @@
 {
     std::vector<const option*> candidates;
     for (const auto& candidate : input.options) {
-        if (allowed(candidate, input)) {
+        if (is_allowed(candidate, input)) {
             candidates.push_back(&candidate);
         }
     }
@@ -122,7 +123,7 @@
         return std::nullopt;
     }
     sort_by_target(candidates, input.quality_target);
-    // While nothing is known to meet the target there is nothing to trade.
+    // Trading quality against cost only makes sense if some option is known to meet the target.
     const bool reachable = candidates.front()->quality.lower >= input.quality_target;
     const bool mixes = input.quality_price && reachable;
     if (mixes) {
@@ -142,13 +143,16 @@
     if (input.chance >= input.explore_share) {
         return made;
     }
-    const auto open = worth_exploring(candidates, best, input.quality_target);
-    if (open.empty()) {
+    const auto explorable = find_exploration_candidates(candidates, best, input.quality_target);
+    if (explorable.empty()) {
         return made;
     }
     const double part = input.chance / input.explore_share;
-    const auto index = static_cast<std::size_t>(part * static_cast<double>(open.size()));
-    return choice{open[std::min(index, open.size() - 1)]->key, choice_reason::exploring, best.key};
+    const auto index = static_cast<std::size_t>(part * static_cast<double>(explorable.size()));
+    return choice{
+        explorable[std::min(index, explorable.size() - 1)]->key,
+        choice_reason::exploring,
+        best.key};
 }
 
 auto quality_price_controller::update(
@@ -156,13 +160,13 @@
 {
     const auto scale = static_cast<double>(dearest.value());
     const double highest = price_ceiling * scale;
-    if (!this->opened) {
-        // Starts with the dearest that pays, so that the first requests are not the worst ones.
-        this->opened = true;
+    if (!this->initialised) {
+        // Starts at the maximum price, so that the first requests do not get the lowest quality.
+        this->initialised = true;
         this->current = highest;
     }
-    const double shortfall = target + target_pad - chosen.lower;
-    this->current = std::clamp(this->current + price_step * scale * shortfall, 0.0, highest);
+    const double shortfall = target + target_margin - chosen.lower;
+    this->current = std::clamp(this->current + price_gain * scale * shortfall, 0.0, highest);
 }
 
 auto is_in_rollout_share(std::uint64_t hash, common::permille share) -> bool
--- a/source/core/policy/quality.cpp
+++ b/source/core/policy/quality.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double unknown_prior = 0.5;
-constexpr double range_term = 1.5;
+constexpr double default_prior = 0.5;
+constexpr double small_sample_term = 1.5;
 
 auto record_key(const option_key& option, const common::task_name& task) -> std::string
 {
@@ -30,9 +30,9 @@
     const double keep = 1.0 - 1.0 / memory;
     this->total = this->total * keep + 1.0;
     const double step = 1.0 / this->total;
-    const double off = value - this->centre;
-    this->centre += step * off;
-    this->spread = (1.0 - step) * (this->spread + step * off * off);
+    const double deviation = value - this->centre;
+    this->centre += step * deviation;
+    this->spread = (1.0 - step) * (this->spread + step * deviation * deviation);
 }
 
 quality_tracker::quality_tracker(quality_options chosen) : options(chosen) {}
@@ -53,29 +53,29 @@
     const double value = std::clamp(score, 0.0, 1.0);
     const auto key = record_key(option, task);
     return this->records.with_shard(key, [&](auto& entries) {
-        auto& seen = entries[key];
-        seen.slow.add(value, this->options.memory);
-        seen.quick.add(value, this->options.quick_memory);
-        if (!this->drifted(seen)) {
+        auto& ratings = entries[key];
+        ratings.long_term.add(value, this->options.memory);
+        ratings.short_term.add(value, this->options.short_memory);
+        if (!this->has_drifted(ratings)) {
             return false;
         }
-        seen.slow = seen.quick;
-        seen.prior.reset();
+        ratings.long_term = ratings.short_term;
+        ratings.prior.reset();
         return true;
     });
 }
 
-auto quality_tracker::drifted(const record& seen) const -> bool
+auto quality_tracker::has_drifted(const record& ratings) const -> bool
 {
-    // Before twice the quick memory the two means hold mostly the same ratings.
-    if (seen.slow.weight() < 2.0 * this->options.quick_memory) {
+    // Until twice the short memory, both means consist mostly of the same ratings.
+    if (ratings.long_term.weight() < 2.0 * this->options.short_memory) {
         return false;
     }
-    const double variance = std::max(seen.slow.variance(), this->options.least_variance);
-    // An exponential mean of memory m has the variance of one over 2m - 1 plain ratings.
-    const double quick_error = std::sqrt(variance / (2.0 * this->options.quick_memory - 1.0));
-    const double apart = std::abs(seen.quick.mean() - seen.slow.mean());
-    return apart > this->options.drift_errors * quick_error;
+    const double variance = std::max(ratings.long_term.variance(), this->options.min_variance);
+    // An exponential mean with memory m has the variance of the plain mean of 2m - 1 ratings.
+    const double short_term_error = std::sqrt(variance / (2.0 * this->options.short_memory - 1.0));
+    const double difference = std::abs(ratings.short_term.mean() - ratings.long_term.mean());
+    return difference > this->options.drift_standard_errors * short_term_error;
 }
 
 auto quality_tracker::estimate(const option_key& option, const common::task_name& task)
@@ -87,19 +87,20 @@
         if (found == entries.end()) {
             return quality_estimate{};
         }
-        const auto& seen = found->second;
-        const double prior = seen.prior.value_or(unknown_prior);
+        const auto& ratings = found->second;
+        const double prior = ratings.prior.value_or(default_prior);
         const double prior_weight = this->options.prior_weight;
-        const double weight = seen.slow.weight();
+        const double weight = ratings.long_term.weight();
         const double mean =
-            (seen.slow.mean() * weight + prior * prior_weight) / (weight + prior_weight);
-        const double variance = std::max(seen.slow.variance(), this->options.least_variance);
+            (ratings.long_term.mean() * weight + prior * prior_weight) / (weight + prior_weight);
+        const double variance = std::max(ratings.long_term.variance(), this->options.min_variance);
         const double known = weight + prior_weight;
-        // The second term is for few ratings: their variance is itself a guess, and an option whose
-        // first scores happen to be low would otherwise never be tried again.
-        const double off =
-            this->options.bound_errors * std::sqrt(variance / known) + range_term / known;
-        return quality_estimate{mean, std::max(0.0, mean - off), std::min(1.0, mean + off), weight};
+        // The second term widens the bounds while there are few ratings: their variance is
+        // unreliable, and an option whose first scores happen to be low would never be tried again.
+        const double deviation = this->options.bound_standard_errors * std::sqrt(variance / known) +
+                                 small_sample_term / known;
+        return quality_estimate{
+            mean, std::max(0.0, mean - deviation), std::min(1.0, mean + deviation), weight};
     });
 }
 
--- a/source/core/policy/quality.hpp
+++ b/source/core/policy/quality.hpp
@@ -9,9 +9,10 @@
 
 namespace reedramp::policy {
 
-/// What a request may be served by: one version, or a first one and, if its answer does not look
-/// good enough, a second one. Each option has estimates of its own: a second version only sees what
-/// the first one failed on, so that its ratings there say nothing about all requests.
+/// Identifies an option: a single version, or a cascade of a first version and a second one that is
+/// used if the first answer does not look good enough. Each option has its own estimates: the
+/// second version of a cascade only gets requests that the first one failed on, so its ratings
+/// there do not represent all requests.
 struct option_key {
     common::version_id first;
     std::optional<common::version_id> second;
@@ -22,29 +23,29 @@
 auto to_string(const option_key& key) -> std::string;
 
 struct quality_options {
-    /// Ratings after which an older one has lost most of its weight.
+    /// Number of ratings over which the long-term estimate forgets older ones.
     double memory = 3000.0;
-    /// Ratings that the quick estimate remembers; it notices drift.
-    double quick_memory = 80.0;
-    /// Standard errors between the two estimates that count as drift.
-    double drift_errors = 4.0;
-    /// Standard errors from the mean to each bound.
-    double bound_errors = 1.6;
-    /// Weight of the operator's prior, in ratings.
+    /// The same of the short-term estimate, which detects drift.
+    double short_memory = 80.0;
+    /// Difference between the two estimates, in standard errors, that counts as drift.
+    double drift_standard_errors = 4.0;
+    /// Distance of each bound from the mean, in standard errors.
+    double bound_standard_errors = 1.6;
+    /// Weight of the prior, in ratings.
     double prior_weight = 4.0;
-    /// Smallest variance assumed, so that a few equal scores do not look certain.
-    double least_variance = 0.01;
+    /// Minimum variance, so that a few equal scores do not appear to be certain.
+    double min_variance = 0.01;
 };
 
 struct quality_estimate {
     double mean = 0.5;
     double lower = 0.0;
     double upper = 1.0;
-    /// Ratings behind it, by their weight now.
+    /// Total current weight of the ratings.
     double weight = 0.0;
 };
 
-/// Exponentially forgetting mean and variance.
+/// Exponentially weighted mean and variance.
 class exponential_mean {
 public:
     auto add(double value, double memory) -> void;
@@ -61,17 +62,17 @@
     double spread = 0.0;
 };
 
-/// Estimates of the mean rating of each option in each task, from ratings that come late or never.
-/// The requests to be rated are drawn at random by the entry, whatever was answered; a share that
-/// depended on the answer would bias the mean. Safe for several threads.
+/// Estimates the mean rating of each option in each task. Ratings may arrive late or not at all.
+/// The entry samples the requests to be rated independently of their answers; otherwise the mean
+/// would be biased. Thread-safe.
 class quality_tracker {
 public:
     explicit quality_tracker(quality_options options);
 
-    /// Sets the operator's expectation; used until ratings outweigh it.
+    /// Sets the mean rating that the operator expects, which is used until ratings outweigh it.
     auto set_prior(const option_key& option, const common::task_name& task, double mean) -> void;
 
-    /// Takes a rating. Returns true if it shows a drift, upon which older ratings are forgotten.
+    /// Adds a rating. Returns true if it reveals a drift; older ratings are then discarded.
     auto add(const option_key& option, const common::task_name& task, double score) -> bool;
 
     [[nodiscard]] auto estimate(const option_key& option, const common::task_name& task)
@@ -80,11 +81,11 @@
 private:
     struct record {
         std::optional<double> prior;
-        exponential_mean slow;
-        exponential_mean quick;
+        exponential_mean long_term;
+        exponential_mean short_term;
     };
 
-    [[nodiscard]] auto drifted(const record& seen) const -> bool;
+    [[nodiscard]] auto has_drifted(const record& ratings) const -> bool;
 
     quality_options options;
     common::sharded_map<std::string, record> records;
--- a/source/core/policy/regression_detector.hpp
+++ b/source/core/policy/regression_detector.hpp
@@ -8,11 +8,11 @@
 
 #include "policy/quality.hpp"
 
-/// Which version to use for a request, and whether a version is worse than another: estimates from
-/// ratings, the choice by cost at the quality target, and the sequential tests of roll-outs.
+/// Version selection and regression detection: quality estimates from ratings, the choice of an
+/// option by cost at a quality target, and the sequential tests of roll-outs.
 namespace reedramp::policy {
 
-/// What is observed of an answer, each as a number from 0 to 1.
+/// A property observed of an answer, as a number from 0 to 1.
 enum class signal : std::uint8_t {
     /// The rating service's score; low is bad.
     rating,
@@ -20,40 +20,43 @@
     error,
     /// 1 if the answer was slower than the organisation's target, else 0; high is bad.
     slow,
-    /// By how much the answer took longer than the old version's, 0 for no more than usual, 1 for
-    /// several times as long; high is bad.
+    /// How much longer the answer took than the old version's answers: 0 for the usual time or
+    /// less,
+    /// 1 for several times as long; high is bad.
     latency,
 };
 
 inline constexpr std::size_t signal_count = 4;
 
-/// Parallel bets, each staking this share of the largest possible stake. Small ones find small
-/// differences late, large ones find large differences early; the mean of their wealth is within
-/// log(4) of the best of them.
+/// The stakes of the parallel bets, as fractions of the largest possible stake. Small stakes detect
+/// small differences late, large stakes detect large differences early; the logarithm of their mean
+/// wealth is within log(4) of the best of them.
 inline constexpr auto bet_fractions = std::to_array({0.06, 0.2, 0.45, 0.8});
 
-/// How much worse the new version may be before that counts as worse, by signal, in units of the
-/// signal; and the probability with which a version that is not worse may ever be called so.
+/// Settings of the sequential test of a new version. The slack of a signal is how much worse the
+/// new version may be, in units of the signal, without counting as worse.
 struct regression_detector_options {
     double rating_slack = 0.02;
     double error_slack = 0.01;
     double slow_slack = 0.05;
     double latency_slack = 0.05;
-    /// Shares of the stake by signal, in the order of `signal`. A signal that is never observed
-    /// should have none: what is staked on it is lost to the others.
+    /// Shares of the initial wealth by signal, in the order of `signal`. A signal that is never
+    /// observed should have 0, because its share is not available to the others.
     std::array<double, signal_count> weights{0.6, 0.3, 0.1, 0.0};
-    /// How much worse the new version would have to be for a larger share to be unwanted.
+    /// How much worse in ratings the new version may be for its share to grow.
     double growth_slack = 0.05;
+    /// The probability that a version which is not worse is ever reported as worse.
     double false_alarm = 0.01;
-    /// Old observations needed before the first bet.
+    /// Number of observations of the old version needed before the first bet.
     double min_baseline_count = 20.0;
-    /// Old observations that the reference remembers.
+    /// Number of observations over which the baseline forgets older ones.
     double baseline_memory = 4000.0;
-    /// Standard errors by which the reference is taken to be off, always against an alarm.
+    /// Assumed error of the baseline in standard errors, always in the direction that makes an
+    /// alarm less likely.
     double baseline_standard_errors = 1.5;
 };
 
-/// A mean and the number of observations behind it.
+/// A mean and its number of observations.
 struct sample_mean {
     double value = 0.0;
     double count = 0.0;
@@ -61,27 +64,29 @@
     auto operator==(const sample_mean&) const -> bool = default;
 };
 
-/// The mean over both.
+/// The mean of the observations of both.
 auto combined_mean(const sample_mean& one, const sample_mean& other) -> sample_mean;
 
-/// Logarithms of the wealth of all bets: `signal_count` blocks that bet on "worse", then one that
-/// bets on "not worse by growth_slack" by ratings. Vectors of several processes are added up.
+/// The logarithms of the wealth of all bets: one block for each signal betting on "worse", then one
+/// betting on "not worse by `growth_slack`" by ratings. Vectors of several processes are summed.
 using wealth = std::vector<double>;
 
 inline constexpr std::size_t wealth_size = (signal_count + 1) * bet_fractions.size();
 
-/// One process's evidence on a new version against the one that it replaces: a test by betting
-/// (Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting", 2023).
+/// One process's evidence that a new version is worse than the version it replaces: a sequential
+/// test by betting (Waudby-Smith and Ramdas, "Estimating means of bounded random variables by
+/// betting", 2023).
 ///
-/// A bet stakes a fixed share of its wealth on the next observation of the new version being worse
-/// than the old version's mean less the slack. If the new version is not worse, each wealth is a
-/// non-negative supermartingale, so that it ever passes 1/a with a probability of at most a,
-/// however often and whenever one looks (Ville's inequality). Shares do not depend on data, so that
-/// wealths of processes that report at different times may be multiplied, and the test is still
-/// valid.
+/// Each bet stakes a fixed fraction of its wealth on the next observation of the new version being
+/// worse than the old version's mean by more than the slack. If the new version is not worse, the
+/// wealth is a non-negative supermartingale, so the probability that it ever exceeds 1/a is at most
+/// a, however often it is checked (Ville's inequality). The fractions do not depend on the data, so
+/// the wealth of processes that report at different times may be multiplied without invalidating
+/// the test.
 ///
-/// The old version's mean is an estimate, taken at the end of its confidence interval that makes an
-/// alarm harder; else an estimate that happens to be high would make a good version look bad.
+/// The old version's mean (the baseline) is an estimate. The test uses the end of its confidence
+/// interval that makes an alarm less likely; otherwise an estimate that happens to be too high
+/// would make a good version look worse.
 class regression_evidence {
 public:
     explicit regression_evidence(regression_detector_options options);
@@ -89,40 +94,41 @@
     auto add_baseline(signal what, double value) -> void;
     auto add_candidate(signal what, double value) -> void;
 
-    /// Bets against the old version's mean over all processes, once `count` is more than this
-    /// process has seen itself. With many processes each sees little of it: at 390 entries, a
-    /// thousand ratings of the old version would otherwise take an hour.
+    /// Sets the old version's mean over all processes. It becomes the baseline if `count` exceeds
+    /// the number of this process's own observations. With many processes each one observes little:
+    /// with 390 entries, collecting a thousand ratings of the old version would take an hour.
     auto set_pooled_baseline(signal what, double mean, double count) -> void;
 
-    /// How much worse the new version may be from now on, by this signal.
+    /// Changes the slack of a signal.
     auto set_slack(signal what, double slack) -> void;
 
     [[nodiscard]] auto log_wealth() const -> const wealth& { return this->logs; }
 
-    /// What this process has seen itself of the old version, to be pooled.
+    /// The old version's mean as observed by this process alone, to be pooled.
     [[nodiscard]] auto baseline_mean(signal what) const -> sample_mean;
 
 private:
-    struct reference {
+    struct baseline {
         exponential_mean values;
         sample_mean pooled;
-        /// New observations that came before the reference was good enough to bet against.
-        std::vector<double> waiting;
+        /// Observations of the new version that arrived before the baseline had enough
+        /// observations.
+        std::vector<double> pending;
     };
 
-    [[nodiscard]] static auto best_mean(const reference& known) -> sample_mean;
-    [[nodiscard]] auto ready(const reference& known) const -> bool;
-    [[nodiscard]] auto error_of(const reference& known) const -> double;
-    auto bet_on_waiting(signal what) -> void;
+    [[nodiscard]] static auto baseline_estimate(const baseline& known) -> sample_mean;
+    [[nodiscard]] auto has_baseline(const baseline& known) const -> bool;
+    [[nodiscard]] auto baseline_error(const baseline& known) const -> double;
+    auto bet_on_pending(signal what) -> void;
     auto bet(signal what, double value) -> void;
 
     regression_detector_options options;
-    std::array<reference, signal_count> references;
+    std::array<baseline, signal_count> baselines;
     wealth logs;
 };
 
-/// One process's evidence that a version in full use has become worse than `accepted_mean`, its
-/// mean at the time when it was accepted.
+/// One process's evidence that a fully rolled-out version has become worse than `accepted_mean`,
+/// its mean rating when it was accepted.
 class drift_evidence {
 public:
     drift_evidence(regression_detector_options options, double accepted_mean);
@@ -137,37 +143,39 @@
     wealth logs;
 };
 
-/// Adds up the wealth of several processes.
+/// Adds one process's log wealth to the sum. A vector of another size is ignored.
 auto add_wealth(wealth& total, std::span<const double> part) -> void;
 
 enum class verdict : std::uint8_t { undecided, not_worse, worse };
 
 struct evaluation {
     verdict decision = verdict::undecided;
-    /// Logarithms of the mixed wealth of both sides; the alarm comes at log(1 / false_alarm).
+    /// Logarithms of the mixed wealth of both sides; the alarm is raised at log(1 / false_alarm).
     double log_against = 0.0;
     double log_for = 0.0;
 };
 
-/// Judges summed wealth. `worse` has precedence. `not_worse` needs a wealth of 1/`doubt`, and that
-/// no signal speaks against the version: failed runs get no rating, so that a version which often
-/// fails may be rated well.
-auto evaluate(const wealth& total, const regression_detector_options& options, double doubt)
+/// Evaluates the summed wealth. `worse` takes precedence. `not_worse` needs a wealth of
+/// 1/`error_probability`, and no signal against the version: failed runs are not rated, so a
+/// version that often fails may still have good ratings.
+auto evaluate(
+    const wealth& total, const regression_detector_options& options, double error_probability)
     -> evaluation;
 
-/// Finds a change in summed drift wealth: the largest rise since any earlier moment (CUSUM; Shin,
-/// Ramdas and Rinaldo, "E-detectors", 2023). While nothing changes, the mean number of ratings
-/// until a false alarm is at least `run_length`.
+/// Detects a change in the summed drift wealth by its largest increase since any earlier time
+/// (CUSUM; Shin, Ramdas and Rinaldo, "E-detectors", 2023). Without a change, the mean number of
+/// ratings until a false alarm is at least `run_length`.
 class drift_detector {
 public:
     explicit drift_detector(double run_length);
 
-    /// Returns whether the version has become worse. `total` must grow by whole reports.
+    /// Returns whether the version has become worse. Between calls, `total` may only change by
+    /// whole reports.
     auto observe(const wealth& total) -> bool;
 
 private:
     double threshold;
-    wealth lowest;
+    wealth minima;
 };
 
 } // namespace reedramp::policy
--- a/source/unit_tests/policy/option_choice_test.cpp
+++ b/source/unit_tests/policy/option_choice_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("the cheapest option whose lower bound meets the target is taken")
+TEST_CASE("the cheapest option whose lower bound meets the target is chosen")
 {
     const std::vector<option> options{
         make_option(key("small"), 10, 0.60, 0.70),
@@ -48,12 +48,22 @@
     };
 
     const std::vector<row> rows{
-        {"cheap suffices", 0.55, true, 1, key("small"), choice_reason::cheapest_at_target},
-        {"middle needed", 0.75, true, 1, key("middle"), choice_reason::cheapest_at_target},
-        {"cascade pays", 0.85, true, 1, key("small", "large"), choice_reason::cheapest_at_target},
+        {"the cheapest suffices", 0.55, true, 1, key("small"), choice_reason::cheapest_at_target},
+        {"the middle one is needed",
+         0.75,
+         true,
+         1,
+         key("middle"),
+         choice_reason::cheapest_at_target},
+        {"a cascade is cheaper",
+         0.85,
+         true,
+         1,
+         key("small", "large"),
+         choice_reason::cheapest_at_target},
         {"no cascade allowed", 0.85, false, 1, key("large"), choice_reason::cheapest_at_target},
-        {"none is sure", 0.93, true, 1, key("large"), choice_reason::best_available},
-        {"explores the cheaper", 0.82, true, 0, key("middle"), choice_reason::exploring},
+        {"no option meets the target", 0.93, true, 1, key("large"), choice_reason::best_available},
+        {"explores a cheaper option", 0.82, true, 0, key("middle"), choice_reason::exploring},
         {"nothing to explore", 0.75, true, 0, key("middle"), choice_reason::cheapest_at_target},
     };
     for (const auto& each : rows) {
@@ -70,7 +80,7 @@
     }
 }
 
-TEST_CASE("ceiling and time left exclude options")
+TEST_CASE("the price ceiling and the time left exclude options")
 {
     const std::vector<option> options{make_option(key("large"), 90, 0.9, 0.95)};
     choice_input input;
@@ -94,7 +104,7 @@
     }
 }
 
-TEST_CASE("estimates tighten with ratings and notice drift")
+TEST_CASE("quality estimates narrow with ratings and detect drift")
 {
     quality_tracker tracker{quality_options{}};
     const common::task_name task("tagging");
@@ -119,13 +129,13 @@
     CHECK(tracker.estimate(key("small"), task).upper < 0.75);
 }
 
-TEST_CASE("the account lets a cheap and a dear option alternate until their mean meets the target")
+TEST_CASE("the price controller alternates between options so that their mean meets the target")
 {
     const std::vector<option> options{
         make_option(key("small"), 10, 0.70, 0.72),
         make_option(key("large"), 90, 0.90, 0.92),
     };
-    quality_price_controller account;
+    quality_price_controller controller;
     double quality = 0.0;
     double cost = 0.0;
     constexpr int requests = 2000;
@@ -133,11 +143,11 @@
         choice_input input;
         input.options = options;
         input.quality_target = 0.8;
-        input.quality_price = account.price();
+        input.quality_price = controller.price();
         const auto made = choose(input);
         REQUIRE(made);
         const auto& taken = made->key == key("small") ? options[0] : options[1];
-        account.update(taken.quality, input.quality_target, options[1].expected_cost);
+        controller.update(taken.quality, input.quality_target, options[1].expected_cost);
         quality += taken.quality.lower / requests;
         cost += static_cast<double>(taken.expected_cost.value()) / requests;
     }
