--- a/source/core/limits/amounts.hpp
+++ b/source/core/limits/amounts.hpp
@@ -6,13 +6,13 @@
 
 namespace reedramp::limits {
 
-/// What is limited, in the order of the fields of `amounts`.
+/// The limited quantities, in the order of the fields of `amounts`.
 enum class dimension : std::uint8_t { requests, tokens, money };
 
 inline constexpr std::size_t dimension_count = 3;
 
-/// Requests, tokens and money (micro units); as a limit each is a minute's, and zero means no
-/// limit.
+/// Requests, tokens and money (in micro units). As a limit, each value is per minute, and zero
+/// means unlimited.
 struct amounts {
     double requests = 0.0;
     double tokens = 0.0;
--- a/source/core/limits/organisation_limiter.hpp
+++ b/source/core/limits/organisation_limiter.hpp
@@ -13,8 +13,8 @@
 
 namespace reedramp::limits {
 
-/// Counts amounts between reports, exactly: what is reported adds up to what was counted, whatever
-/// the pattern of arrivals within a period.
+/// Counts amounts between reports. The count is exact: the reported rates add up to the counted
+/// amounts, whatever the pattern of arrivals within a period.
 class period_meter {
 public:
     auto add(amounts added) -> void;
@@ -22,88 +22,91 @@
     /// Ends the period that began `minutes` ago.
     auto close(double minutes) -> void;
 
-    /// Amounts a minute in the last whole period.
+    /// Amounts per minute in the last completed period.
     [[nodiscard]] auto last() const -> amounts { return amounts::of(this->last_rates); }
 
-    /// Amounts a minute, smoothed over some periods.
+    /// Amounts per minute, smoothed over several periods.
     [[nodiscard]] auto smoothed() const -> amounts { return amounts::of(this->smoothed_rates); }
 
 private:
     std::array<double, dimension_count> counts{};
     std::array<double, dimension_count> last_rates{};
     std::array<double, dimension_count> smoothed_rates{};
-    bool closed_once = false;
+    bool has_closed = false;
 };
 
-/// One organisation's limits as one entry keeps them.
+/// Enforces one organisation's limits in one entry.
 ///
-/// While a total of the fleet is known, the entry admits the share of its own requests that the
-/// fleet's limit is of the fleet's demand. What the fleet admitted over or under the limit is
-/// carried on as a balance and evened out, so that errors of the lagging total don't add up.
-/// Without a total the entry admits its fixed part of the limit, one by the number of listed
-/// entries: the parts of entries that cannot hear each other add up to the limit.
+/// While the total demand of the fleet is known, the entry admits a ratio of its own requests: the
+/// fleet's limit divided by the fleet's demand. What the fleet admitted above or below the limit is
+/// carried over as a balance and corrected for, so that errors caused by the delay of the total do
+/// not accumulate. Without a total, the entry admits an equal share of the limit, 1/n for n listed
+/// entries, so that the shares of entries that cannot reach each other add up to the limit.
 class organisation_limiter {
 public:
-    /// `phase`, 0 to 1, is where the first admitted request of a thinned sequence lies. It differs
-    /// between entries: else all of them would admit their first request, or none would.
+    /// `phase`, from 0 to 1, determines which request of a thinned sequence is admitted first. It
+    /// differs between entries; otherwise either all or none would admit their first request.
     organisation_limiter(common::organisation_id organisation, double phase);
 
     auto set_limits(amounts per_minute) -> void { this->limit = per_minute; }
 
-    /// Counts the request and decides. `listed` is the number of listed entries.
+    /// Counts the request and decides whether to admit it. `listed` is the number of listed
+    /// entries.
     auto admit(amounts expected, std::size_t listed, common::time_point now)
         -> common::result<void>;
 
+    /// Replaces the expected cost of an ended request by what it used.
     auto reconcile(amounts expected, amounts used) -> void;
 
-    /// Ends a period of counting; call it before `own_row`, every report period.
+    /// Ends a counting period; to be called in every report period, before `make_entry_row`.
     auto close_period(common::time_point now) -> void;
 
-    /// This entry's own row: its smoothed demand, and what it admitted in the last period.
-    [[nodiscard]] auto own_row() const -> messages::limit_demand;
+    /// This entry's row: its smoothed demand and the amounts it admitted in the last period.
+    [[nodiscard]] auto make_entry_row() const -> messages::limit_demand;
 
-    /// Keeps a row of an entry of the data centre whose demand this entry sums.
-    auto keep_entry_row(
+    /// Stores the row of an entry of this data centre, if this entry sums the data centre's demand.
+    auto store_entry_row(
         const common::host_id& from, messages::limit_demand row, common::time_point expires)
         -> void;
 
-    /// Keeps the sum of another data centre.
-    auto keep_data_centre_row(
+    /// Stores the sum of another data centre.
+    auto store_data_centre_row(
         const common::data_centre_id& from, messages::limit_demand row, common::time_point expires)
         -> void;
 
-    /// Takes the fleet's total as valid until `expires`.
-    auto set_fleet(messages::limit_demand total, common::time_point expires) -> void;
+    /// Sets the fleet's total, which is valid until `expires`.
+    auto set_fleet_total(messages::limit_demand row, common::time_point expires) -> void;
 
-    /// Sum of the fresh rows of this data centre.
-    auto data_centre_row(common::time_point now) -> messages::limit_demand;
+    /// The sum of the unexpired rows of this data centre.
+    auto make_data_centre_row(common::time_point now) -> messages::limit_demand;
 
-    /// Sum of this data centre and the fresh others.
-    auto fleet_row(common::time_point now) -> messages::limit_demand;
+    /// The sum of this data centre and of the unexpired sums of the others.
+    auto make_fleet_row(common::time_point now) -> messages::limit_demand;
 
-    /// The total that this entry goes by, if it is fresh.
-    [[nodiscard]] auto fleet(common::time_point now) const -> std::optional<messages::limit_demand>;
+    /// The fleet's total, unless it has expired or none was received.
+    [[nodiscard]] auto fresh_total(common::time_point now) const
+        -> std::optional<messages::limit_demand>;
 
-    /// Brings the balance up to `now`; called every report period.
-    auto advance(std::size_t listed, common::time_point now) -> void;
+    /// Updates the balance to `now`; to be called in every report period.
+    auto update_balance(std::size_t listed, common::time_point now) -> void;
 
 private:
-    struct kept_row {
+    struct stored_row {
         messages::limit_demand row;
         common::time_point expires;
     };
 
-    /// What part of the requests is admitted, and what limits it.
-    struct admitted_part {
-        double part = 1.0;
+    /// The ratio of requests that is admitted, and the dimension that limits it.
+    struct admission {
+        double ratio = 1.0;
         dimension binding = dimension::requests;
     };
 
-    [[nodiscard]] auto part_of_demand(const messages::limit_demand& known, std::size_t listed) const
-        -> admitted_part;
+    [[nodiscard]] auto
+    admission_ratio(const messages::limit_demand& total, std::size_t listed) const -> admission;
     auto take_from_bucket(amounts expected, double share, double headroom, common::time_point now)
         -> std::optional<dimension>;
-    [[nodiscard]] auto refusal(dimension binding, double part, common::time_point now) const
+    [[nodiscard]] auto refusal(dimension binding, double ratio, common::time_point now) const
         -> tl::unexpected<common::error>;
 
     common::organisation_id organisation;
@@ -111,17 +114,17 @@
     period_meter offered;
     period_meter admitted;
     std::optional<common::time_point> period_start;
-    /// Requests owed by thinning; one is admitted when it reaches 1.
-    double credit;
-    /// What the fleet may still spend (over zero) or has to save, by dimension.
+    /// Accumulated admission ratio; a request is admitted when it reaches 1.
+    double thinning_credit;
+    /// By dimension, what the fleet may spend in addition to its limit, or has to save if negative.
     std::array<double, dimension_count> balance{};
-    std::optional<common::time_point> advanced;
-    /// This entry's own bucket, against floods that no total shows yet.
+    std::optional<common::time_point> balance_time;
+    /// This entry's token bucket, by dimension. It limits bursts that the total does not show yet.
     std::array<double, dimension_count> bucket{};
-    std::optional<common::time_point> filled;
-    std::optional<kept_row> total;
-    std::map<common::host_id, kept_row> entry_rows;
-    std::map<common::data_centre_id, kept_row> data_centre_rows;
+    std::optional<common::time_point> bucket_time;
+    std::optional<stored_row> fleet_total;
+    std::map<common::host_id, stored_row> entry_rows;
+    std::map<common::data_centre_id, stored_row> data_centre_rows;
 };
 
 } // namespace reedramp::limits
--- a/source/core/limits/shared_limiter.cpp
+++ b/source/core/limits/shared_limiter.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// By how much earlier than a kept row a received total expires.
+/// How much earlier a received total expires than a stored row.
 constexpr auto total_expires_earlier = std::chrono::seconds(1);
 
-/// The entry of one data centre that sums an organisation's demand; it must not be empty.
+/// The entry of `hosts`, those of one data centre, that sums an organisation's demand. `hosts` must
+/// not be empty.
 auto summing_entry(
     const common::organisation_id& organisation, const std::vector<common::host_id>& hosts)
     -> const common::host_id&
@@ -30,7 +31,7 @@
     return *best;
 }
 
-/// A number in [0, 1) that differs between processes and organisations.
+/// A pseudo-random number in [0, 1) for this process and organisation.
 auto phase_of(std::uint64_t seed, const common::organisation_id& organisation) -> double
 {
     constexpr double scale = 1.0 / 18446744073709551616.0; // 2^-64
@@ -108,11 +109,11 @@
     this->limiters.for_each_shard([&](auto& shard) {
         for (auto& [organisation, item] : shard) {
             item.close_period(now);
-            for (auto& report : this->report_on(item, organisation, *all, now)) {
+            for (auto& report : this->make_reports_of(item, organisation, *all, now)) {
                 auto& rows = by_host[report.to];
                 rows.insert(rows.end(), report.rows.begin(), report.rows.end());
             }
-            item.advance(all->data_centres.size(), now);
+            item.update_balance(all->data_centres.size(), now);
         }
     });
     std::vector<demand_report> made;
@@ -131,8 +132,8 @@
     const auto all = this->listed();
     std::vector<messages::limit_demand> answer;
     for (const auto& row : rows) {
-        auto part = this->take_row(from, row, *all, now);
-        answer.insert(answer.end(), part.begin(), part.end());
+        auto added = this->apply_row(from, row, *all, now);
+        answer.insert(answer.end(), added.begin(), added.end());
     }
     return answer;
 }
@@ -144,7 +145,7 @@
 {
     const auto all = this->listed();
     for (const auto& row : rows) {
-        this->take_row(from, row, *all, now);
+        this->apply_row(from, row, *all, now);
     }
 }
 
@@ -154,7 +155,7 @@
     return this->peers;
 }
 
-auto shared_limiter::report_on(
+auto shared_limiter::make_reports_of(
     organisation_limiter& item,
     const common::organisation_id& organisation,
     const directory& all,
@@ -163,20 +164,21 @@
     const auto& own = all.by_data_centre.at(this->settings.data_centre);
     const auto& summing = summing_entry(organisation, own);
     if (summing != this->settings.self) {
-        return {{summing, {item.own_row()}}};
+        return {{summing, {item.make_entry_row()}}};
     }
-    item.keep_entry_row(this->settings.self, item.own_row(), now + this->settings.row_lifetime);
-    item.set_fleet(item.fleet_row(now), now + this->settings.row_lifetime);
+    item.store_entry_row(
+        this->settings.self, item.make_entry_row(), now + this->settings.row_lifetime);
+    item.set_fleet_total(item.make_fleet_row(now), now + this->settings.row_lifetime);
     std::vector<demand_report> made;
     for (const auto& [data_centre, hosts] : all.by_data_centre) {
         if (data_centre != this->settings.data_centre) {
-            made.push_back({summing_entry(organisation, hosts), {item.data_centre_row(now)}});
+            made.push_back({summing_entry(organisation, hosts), {item.make_data_centre_row(now)}});
         }
     }
     return made;
 }
 
-auto shared_limiter::take_row(
+auto shared_limiter::apply_row(
     const common::host_id& from,
     const messages::limit_demand& row,
     const directory& all,
@@ -193,14 +195,14 @@
         auto& item = found->second;
         switch (row.scope) {
         case messages::demand_scope::entry:
-            item.keep_entry_row(from, row, expires);
-            answer.push_back(item.fleet_row(now));
+            item.store_entry_row(from, row, expires);
+            answer.push_back(item.make_fleet_row(now));
             break;
         case messages::demand_scope::data_centre:
-            item.keep_data_centre_row(sender->second, row, expires);
+            item.store_data_centre_row(sender->second, row, expires);
             break;
         case messages::demand_scope::fleet:
-            item.set_fleet(row, expires - total_expires_earlier);
+            item.set_fleet_total(row, expires - total_expires_earlier);
             break;
         }
     });
--- a/source/unit_tests/limits/shared_limiter_test.cpp
+++ b/source/unit_tests/limits/shared_limiter_test.cpp
@@ -21,11 +21,11 @@
     return common::host_id("h" + std::to_string(number));
 }
 
-/// Entries that exchange reports each second over a network where `hears(a, b)` says who reaches
-/// whom. Three data centres, taken in turns.
+/// Entries in three data centres that exchange reports each second over a network in which
+/// `can_reach(a, b)` decides whether a's reports reach b.
 struct fleet {
-    std::vector<std::unique_ptr<shared_limiter>> keepers;
-    std::function<auto(std::size_t, std::size_t)->bool> hears = [](auto, auto) {
+    std::vector<std::unique_ptr<shared_limiter>> limiters;
+    std::function<auto(std::size_t, std::size_t)->bool> can_reach = [](auto, auto) {
         return true;
     };
     std::vector<double> admitted;
@@ -38,10 +38,10 @@
             peers.push_back({host(number), data_centre(number)});
         }
         for (std::size_t number = 0; number < count; ++number) {
-            this->keepers.push_back(std::make_unique<shared_limiter>(
+            this->limiters.push_back(std::make_unique<shared_limiter>(
                 limits::shared_limiter_settings{host(number), data_centre(number)}, number));
-            this->keepers.back()->set_limits({{organisation, limit}});
-            this->keepers.back()->set_entries(peers);
+            this->limiters.back()->set_limits({{organisation, limit}});
+            this->limiters.back()->set_entries(peers);
         }
         this->admitted.resize(count);
     }
@@ -53,19 +53,20 @@
 
     auto exchange() -> void
     {
-        for (std::size_t from = 0; from < this->keepers.size(); ++from) {
-            for (const auto& report : this->keepers[from]->make_reports(this->now)) {
+        for (std::size_t from = 0; from < this->limiters.size(); ++from) {
+            for (const auto& report : this->limiters[from]->make_reports(this->now)) {
                 const auto to = std::stoul(report.to.value().substr(1));
-                if (this->hears(from, to)) {
+                if (this->can_reach(from, to)) {
                     const auto rows =
-                        this->keepers[to]->on_report(host(from), report.rows, this->now);
-                    this->keepers[from]->on_answer(report.to, rows, this->now);
+                        this->limiters[to]->on_report(host(from), report.rows, this->now);
+                    this->limiters[from]->on_answer(report.to, rows, this->now);
                 }
             }
         }
     }
 
-    /// Each entry gets its requests a second, evenly; counts what was admitted after `warm_up`.
+    /// Sends each entry its number of requests per second, evenly spaced; counts those admitted
+    /// after `warm_up` seconds.
     auto run(const std::vector<int>& per_second, int warm_up, int seconds, amounts cost = {1, 0, 0})
         -> double
     {
@@ -73,10 +74,10 @@
         std::fill(this->admitted.begin(), this->admitted.end(), 0.0);
         for (int second = 0; second < warm_up + seconds; ++second) {
             this->exchange();
-            for (std::size_t entry = 0; entry < this->keepers.size(); ++entry) {
+            for (std::size_t entry = 0; entry < this->limiters.size(); ++entry) {
                 for (int number = 0; number < per_second[entry]; ++number) {
                     const auto at = this->now + number * 1s / per_second[entry];
-                    const auto done = this->keepers[entry]->admit(organisation, cost, at);
+                    const auto done = this->limiters[entry]->admit(organisation, cost, at);
                     if (done && second >= warm_up) {
                         this->admitted[entry] += 1.0;
                         total += 1.0;
@@ -101,12 +102,12 @@
     };
 
     const auto [name, per_second, limit, expected] = GENERATE(
-        row{"less than the limit is all admitted", {2, 2, 2}, {600, 0, 0}, 360},
+        row{"demand below the limit is fully admitted", {2, 2, 2}, {600, 0, 0}, 360},
         row{"equal demand", {10, 10, 10}, {600, 0, 0}, 600},
         row{"unequal demand", {40, 10, 10}, {600, 0, 0}, 600},
         row{"all demand at one entry", {60, 0, 0}, {600, 0, 0}, 600},
-        row{"tokens bind", {10, 10, 10}, {6000, 60'000, 0}, 600},
-        row{"money binds", {10, 10, 10}, {6000, 0, 6000}, 600});
+        row{"tokens are the limiting dimension", {10, 10, 10}, {6000, 60'000, 0}, 600},
+        row{"money is the limiting dimension", {10, 10, 10}, {6000, 0, 6000}, 600});
     INFO(name);
     fleet entries(3, limit);
     const auto total = entries.run(per_second, 30, 60, {1, 100, 10});
@@ -118,69 +119,70 @@
     }
 }
 
-TEST_CASE("entries that cannot hear each other keep the limit together", "[limits]")
+TEST_CASE("entries that cannot reach each other stay within the limit together", "[limits]")
 {
-    // Links fail while demand is five times the limit. Callers see more refusals, never more
-    // admitted than the limit: after the last total has expired, each side spends only the part of
-    // those it hears.
+    // Links fail while demand is five times the limit. More requests may be refused, but the fleet
+    // must not exceed the limit: once the last total has expired, each side spends only the shares
+    // of the entries that it receives reports from.
     struct row {
         const char* name;
-        std::function<auto(std::size_t, std::size_t)->bool> hears;
-        double least;
+        std::function<auto(std::size_t, std::size_t)->bool> can_reach;
+        double min_admitted;
     };
 
-    const auto [name, hears, least] = GENERATE(
-        row{"one alone", [](auto a, auto b) { return a == b || (a != 0 && b != 0); }, 570},
-        row{"a data centre alone",
+    const auto [name, can_reach, min_admitted] = GENERATE(
+        row{"one entry isolated", [](auto a, auto b) { return a == b || (a != 0 && b != 0); }, 570},
+        row{"one data centre isolated",
             [](auto a, auto b) { return (a % 3 == 0) == (b % 3 == 0); },
             570},
-        row{"nobody hears anyone", [](auto a, auto b) { return a == b; }, 570},
-        row{"one way only", [](auto a, auto b) { return a <= b; }, 400});
+        row{"all entries isolated", [](auto a, auto b) { return a == b; }, 570},
+        row{"reports in one direction only", [](auto a, auto b) { return a <= b; }, 400});
     INFO(name);
     fleet entries(6, {600, 0, 0});
     entries.run(std::vector(6, 8), 0, 20);
-    entries.hears = hears;
+    entries.can_reach = can_reach;
     const auto total = entries.run(std::vector(6, 8), 30, 60);
     CHECK(total <= 600 * 1.02);
-    CHECK(total >= least);
+    CHECK(total >= min_admitted);
 }
 
-TEST_CASE("a silent entry's part stays reserved until it is no longer listed", "[limits]")
+TEST_CASE("a silent entry's share stays reserved until the entry is no longer listed", "[limits]")
 {
-    // An entry of three falls silent. The others can't tell whether it died or is cut off and still
-    // admits its part, so they leave that until membership drops it.
+    // One of three entries stops reporting. The others cannot tell whether it has failed or is
+    // isolated and still admits its share, so they leave the share unused until membership removes
+    // the entry.
     fleet entries(3, {600, 0, 0});
-    entries.hears = [](auto a, auto b) {
+    entries.can_reach = [](auto a, auto b) {
         return a != 2 && b != 2;
     };
     CHECK(entries.run({20, 20, 0}, 30, 60) == Approx(400).epsilon(0.03));
     for (std::size_t entry = 0; entry < 2; ++entry) {
-        entries.keepers[entry]->set_entries(
+        entries.limiters[entry]->set_entries(
             {{host(0), fleet::data_centre(0)}, {host(1), fleet::data_centre(1)}});
     }
     CHECK(entries.run({20, 20, 0}, 30, 60) == Approx(600).epsilon(0.03));
 }
 
-TEST_CASE("a refusal names the limit and when to come back", "[limits]")
+TEST_CASE("a refusal names the exceeded limit and the time to retry", "[limits]")
 {
     const auto [limit, code] = GENERATE(table<amounts, result_code>(
         {{{1, 0, 0}, result_code::limit_requests},
          {{0, 100, 0}, result_code::limit_tokens},
          {{9, 0, 10}, result_code::limit_money}}));
-    shared_limiter keeper({host(0), fleet::data_centre(0)}, 1);
-    keeper.set_limits({{organisation, limit}});
-    REQUIRE(keeper.admit(organisation, {1, 100, 10}, start));
-    const auto refused = keeper.admit(organisation, {1, 100, 10}, start + 1s);
+    shared_limiter limiter({host(0), fleet::data_centre(0)}, 1);
+    limiter.set_limits({{organisation, limit}});
+    REQUIRE(limiter.admit(organisation, {1, 100, 10}, start));
+    const auto refused = limiter.admit(organisation, {1, 100, 10}, start + 1s);
     REQUIRE_FALSE(refused);
     CHECK(refused.error().code == code);
     CHECK(refused.error().run == common::execution::not_run);
     CHECK(refused.error().retry_at > start + 1s);
-    CHECK(keeper.admit(common::organisation_id("without limits"), {1, 100, 10}, start));
+    CHECK(limiter.admit(common::organisation_id("without limits"), {1, 100, 10}, start));
 }
 
-TEST_CASE("what was really used replaces what was expected", "[limits]")
+TEST_CASE("the cost used replaces the expected cost", "[limits]")
 {
-    // Each request uses four times the tokens that were expected. Without settling, the fleet would
+    // Each request uses four times the expected tokens. Without reconciliation, the fleet would
     // admit four times the tokens of the limit.
     fleet entries(1, {0, 60'000, 0});
     double used = 0.0;
@@ -188,8 +190,8 @@
         const auto now = entries.now += 1s;
         entries.exchange();
         for (int number = 0; number < 20; ++number) {
-            if (entries.keepers[0]->admit(organisation, {1, 100, 0}, now)) {
-                entries.keepers[0]->reconcile(organisation, {1, 100, 0}, {1, 400, 0});
+            if (entries.limiters[0]->admit(organisation, {1, 100, 0}, now)) {
+                entries.limiters[0]->reconcile(organisation, {1, 100, 0}, {1, 400, 0});
                 used += second >= 60 ? 400.0 : 0.0;
             }
         }
@@ -197,12 +199,12 @@
     CHECK(used == Approx(60'000).epsilon(0.05));
 }
 
-TEST_CASE("rows of a process that is not listed change nothing", "[limits]")
+TEST_CASE("rows of a process that is not listed are ignored", "[limits]")
 {
     fleet entries(1, {600, 0, 0});
     messages::limit_demand row;
     row.organisation = organisation;
     row.requests_per_minute = 1e9;
-    CHECK(entries.keepers[0]->on_report(common::host_id("stranger"), {&row, 1}, start).empty());
+    CHECK(entries.limiters[0]->on_report(common::host_id("stranger"), {&row, 1}, start).empty());
     CHECK(entries.run({10}, 10, 60) == Approx(600).epsilon(0.03));
 }
