--- a/source/core/session/named_session.cpp
+++ b/source/core/session/named_session.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Keeps session names apart from idempotency keys, which are fingerprinted by `claims`.
+/// Hash seed that separates session names from idempotency keys, which `claims` fingerprints.
 constexpr std::uint64_t name_seed = 0x73657373696f6e31ULL;
 
 } // namespace
@@ -18,7 +18,7 @@
     const common::session_id& name,
     const common::model_id& model) -> name_claim
 {
-    // The length in front keeps "ab" + "c" apart from "a" + "bc".
+    // The length prefix distinguishes "ab" + "c" from "a" + "bc".
     const auto text =
         std::to_string(organisation.value().size()) + ':' + organisation.value() + name.value();
     const auto hash = XXH3_128bits_withSeed(text.data(), text.size(), name_seed);
--- a/source/core/session/named_session.hpp
+++ b/source/core/session/named_session.hpp
@@ -7,12 +7,13 @@
 
 namespace reedramp::session {
 
-/// What the claim path needs to let the log decide the first pin of a name that a caller chose.
-/// The first claim record of `key` wins; its `version` is the session's version.
+/// The claim of a session name that a caller has chosen. It lets the log decide which of several
+/// concurrent requests pins the session first: the first claim record of `key` wins, and its
+/// `version` is the session's version.
 struct name_claim {
-    /// 128-bit fingerprint of organisation and name, apart from those of idempotency keys.
+    /// 128-bit fingerprint of organisation and name; distinct from those of idempotency keys.
     common::request_id key;
-    /// Fingerprint of the model, so that a name used for a second model is told apart.
+    /// Fingerprint of the model, to detect that a name is used for a second model.
     std::uint64_t body = 0;
 };
 
--- a/source/core/session/pin.cpp
+++ b/source/core/session/pin.cpp
@@ -18,7 +18,7 @@
 using common::failure;
 using common::result_code;
 
-/// First byte of every token; a later format gets another one.
+/// Format version, the first byte of every token.
 constexpr unsigned char format_byte = 1;
 constexpr std::size_t signature_bytes = 32;
 constexpr std::size_t key_id_bytes = 4;
@@ -53,8 +53,8 @@
     bytes.reserve(text.size() * 3 / 4);
     std::uint32_t buffer = 0;
     int bits = 0;
-    for (const char letter : text) {
-        const auto value = alphabet.find(letter);
+    for (const char character : text) {
+        const auto value = alphabet.find(character);
         if (value == std::string_view::npos) {
             return std::nullopt;
         }
@@ -68,7 +68,7 @@
     return bytes;
 }
 
-auto put_number(std::string& out, std::uint64_t number, std::size_t bytes) -> void
+auto append_number(std::string& out, std::uint64_t number, std::size_t bytes) -> void
 {
     for (std::size_t index = bytes; index > 0; --index) {
         out += static_cast<char>((number >> (8U * (index - 1))) & 0xffU);
@@ -76,7 +76,7 @@
 }
 
 /// False if the field is too long for its length byte.
-auto put_field(std::string& out, const std::string& field) -> bool
+auto append_field(std::string& out, const std::string& field) -> bool
 {
     if (field.size() > max_field_bytes) {
         return false;
@@ -86,7 +86,8 @@
     return true;
 }
 
-/// Takes values off the front of `rest`; `failed` stays set once there was too little.
+/// Reads values from the front of `rest`. `failed` is set, and stays set, if there are too few
+/// bytes.
 struct byte_reader {
     std::string_view rest;
     bool failed = false;
@@ -116,7 +117,7 @@
 
 using signature = std::array<unsigned char, signature_bytes>;
 
-auto signature_of(std::string_view content, const std::string& secret) -> signature
+auto compute_signature(std::string_view content, const std::string& secret) -> signature
 {
     signature made{};
     unsigned int length = 0;
@@ -131,7 +132,7 @@
     return made;
 }
 
-auto key_in(const key_ring& ring, key_id id) -> const signing_key*
+auto find_key(const key_ring& ring, key_id id) -> const signing_key*
 {
     if (ring.current.id == id) {
         return &ring.current;
@@ -142,7 +143,7 @@
     return nullptr;
 }
 
-auto refuse(std::string_view why) -> tl::unexpected<common::error>
+auto reject(std::string_view why) -> tl::unexpected<common::error>
 {
     common::log(
         common::log_part::session,
@@ -151,7 +152,7 @@
     return failure(result_code::bad_session_token, std::string{why});
 }
 
-auto check_secret(const signing_key& key) -> common::result<void>
+auto validate_secret(const signing_key& key) -> common::result<void>
 {
     if (key.secret.size() < min_secret_bytes) {
         return failure(result_code::invalid_settings, "the secret of a session key is too short");
@@ -163,32 +164,32 @@
 
 auto check(const key_ring& ring) -> common::result<void>
 {
-    if (auto checked = check_secret(ring.current); !checked) {
+    if (auto checked = validate_secret(ring.current); !checked) {
         return checked;
     }
     if (!ring.previous) {
         return {};
     }
     if (ring.previous->id == ring.current.id) {
-        return failure(result_code::invalid_settings, "two session keys have one id");
+        return failure(result_code::invalid_settings, "two session keys have the same id");
     }
-    return check_secret(*ring.previous);
+    return validate_secret(*ring.previous);
 }
 
 auto sign(const pin& content, const key_ring& ring) -> std::string
 {
     std::string bytes;
     bytes += static_cast<char>(format_byte);
-    put_number(bytes, ring.current.id.value(), key_id_bytes);
-    put_number(bytes, static_cast<std::uint64_t>(content.expires.value()), expiry_bytes);
-    const auto fits = put_field(bytes, content.organisation.value()) &&
-                      put_field(bytes, content.session.value()) &&
-                      put_field(bytes, content.model.value()) &&
-                      put_field(bytes, content.version.value());
+    append_number(bytes, ring.current.id.value(), key_id_bytes);
+    append_number(bytes, static_cast<std::uint64_t>(content.expires.value()), expiry_bytes);
+    const auto fits = append_field(bytes, content.organisation.value()) &&
+                      append_field(bytes, content.session.value()) &&
+                      append_field(bytes, content.model.value()) &&
+                      append_field(bytes, content.version.value());
     if (!fits) {
         return {};
     }
-    const auto made = signature_of(bytes, ring.current.secret);
+    const auto made = compute_signature(bytes, ring.current.secret);
     bytes.append(reinterpret_cast<const char*>(made.data()), made.size());
     auto token = encode(bytes);
     if (token.size() > max_token_bytes) {
@@ -204,25 +205,26 @@
     common::wall_time_ms now) -> common::result<pin>
 {
     if (token.size() > max_token_bytes) {
-        return refuse("too long");
+        return reject("too long");
     }
     const auto bytes = decode(token);
     if (!bytes || bytes->size() <= signature_bytes || bytes->front() != char{format_byte}) {
-        return refuse("malformed");
+        return reject("malformed");
     }
     const std::string_view all = *bytes;
     const auto content = all.substr(0, all.size() - signature_bytes);
     byte_reader reader{content.substr(1)};
-    const auto* key = key_in(ring, key_id{static_cast<std::uint32_t>(reader.number(key_id_bytes))});
+    const auto* key =
+        find_key(ring, key_id{static_cast<std::uint32_t>(reader.number(key_id_bytes))});
     if (key == nullptr) {
-        return refuse("unknown key");
+        return reject("unknown key");
     }
-    // A comparison that stops at the first wrong byte would tell a forger, by its time, how many
-    // bytes of a guessed signature are right.
-    const auto expected = signature_of(content, key->secret);
-    const auto given = all.substr(content.size());
-    if (CRYPTO_memcmp(expected.data(), given.data(), signature_bytes) != 0) {
-        return refuse("wrong signature");
+    // Constant-time comparison: a comparison that stops at the first wrong byte would reveal
+    // through its duration how many bytes of a guessed signature are correct.
+    const auto expected = compute_signature(content, key->secret);
+    const auto actual = all.substr(content.size());
+    if (CRYPTO_memcmp(expected.data(), actual.data(), signature_bytes) != 0) {
+        return reject("wrong signature");
     }
     pin read;
     read.expires = common::wall_time_ms{static_cast<std::int64_t>(reader.number(expiry_bytes))};
@@ -231,13 +233,13 @@
     read.model = common::model_id{reader.field()};
     read.version = common::version_id{reader.field()};
     if (reader.failed || !reader.rest.empty()) {
-        return refuse("malformed");
+        return reject("malformed");
     }
     if (read.organisation != organisation) {
-        return refuse("another organisation");
+        return reject("another organisation");
     }
     if (read.expires <= now) {
-        return refuse("expired");
+        return reject("expired");
     }
     return read;
 }
--- a/source/core/session/pin.hpp
+++ b/source/core/session/pin.hpp
@@ -9,19 +9,21 @@
 #include "common/result.hpp"
 #include "common/units.hpp"
 
-/// Sessions keep their version for their whole life; the pin that says which travels in a signed
-/// token with the caller, so that no host has to keep it.
+/// Pinning of sessions to versions. A session keeps its version for its whole lifetime. The pin is
+/// stored in a signed token that the caller sends with each request, so that no host has to store
+/// it.
 namespace reedramp::session {
 
 using key_id = common::strong<struct key_tag, std::uint32_t>;
 
-/// What a session is bound to.
+/// The model and version that a session is bound to.
 struct pin {
     common::organisation_id organisation;
     common::session_id session;
     common::model_id model;
     common::version_id version;
-    /// Wall-clock time after which the token is no longer taken. Hosts share no other clock.
+    /// Wall-clock time from which the token is no longer accepted. Wall-clock time is the only
+    /// clock that hosts share.
     common::wall_time_ms expires;
 
     auto operator<=>(const pin&) const = default;
@@ -29,14 +31,15 @@
 
 struct signing_key {
     key_id id;
-    /// At least `min_secret_bytes` random bytes; never logged.
+    /// At least `min_secret_bytes` random bytes. Must not be logged.
     std::string secret;
 };
 
-/// Tokens are signed with `current` and taken when signed with either key.
+/// The keys of session tokens. Tokens are signed with `current` and accepted if signed with either
+/// key.
 ///
-/// Rotation without a broken session: give all processes the new key as `previous`, then swap the
-/// two, then, after the longest life of a session, drop the old one.
+/// To rotate keys without breaking sessions: configure the new key as `previous` in all processes,
+/// then swap the two keys, and remove the old one after the maximum lifetime of a session.
 struct key_ring {
     signing_key current;
     std::optional<signing_key> previous;
@@ -44,22 +47,23 @@
 
 inline constexpr std::size_t min_secret_bytes = 32;
 
-/// Longest token that `verify` looks at; a longer one is refused unread.
+/// Maximum token length that `verify` decodes; longer tokens are rejected.
 inline constexpr std::size_t max_token_bytes = 1024;
 
-/// Longest organisation, session, model and version id that a token can carry, in bytes.
+/// Maximum length of the organisation, session, model and version ids in a token, in bytes.
 inline constexpr std::size_t max_field_bytes = 255;
 
-/// Errors: `invalid_settings` for a secret that is too short, or two keys with one id, of which
-/// one would be refused by chance.
+/// Validates a key ring. Errors: `invalid_settings` for a secret that is too short, or for two keys
+/// with the same id, since valid tokens of one of them would be rejected.
 auto check(const key_ring& ring) -> common::result<void>;
 
-/// The pin as a token of base64url characters, safe in an HTTP header. Empty if a field is longer
-/// than `max_field_bytes`, or all together make more than `max_token_bytes`.
+/// Encodes and signs a pin. The token consists of base64url characters and is safe in an HTTP
+/// header. Empty if a field is longer than `max_field_bytes` or the token longer than
+/// `max_token_bytes`.
 auto sign(const pin& content, const key_ring& ring) -> std::string;
 
-/// The pin in `token`. Errors: `bad_session_token` when it is malformed, its signature does not
-/// match, its key is no longer in the ring, it has expired, or it is another organisation's.
+/// Verifies and decodes a token. Errors: `bad_session_token` if it is malformed, its signature does
+/// not match, its key is not in the ring, it has expired, or it belongs to another organisation.
 auto verify(
     std::string_view token,
     const common::organisation_id& organisation,
--- a/source/unit_tests/session/session_test.cpp
+++ b/source/unit_tests/session/session_test.cpp
@@ -32,20 +32,20 @@
     std::string organisation = "org-a";
     key_ring ring{new_key, old_key};
     common::wall_time_ms at = now;
-    bool taken = false;
+    bool accepted = false;
 };
 
-auto same(std::string token) -> std::string
+auto unchanged(std::string token) -> std::string
 {
     return token;
 }
 
 } // namespace
 
-TEST_CASE("a token gives its pin back through a rotation of keys", "[session]")
+TEST_CASE("a token stays valid during a key rotation", "[session]")
 {
-    // A caller opens a session, then operators rotate the signing key. The caller sees no change:
-    // the token still names its version, first as the current key's and then as the previous one's.
+    // A session is opened, then operators rotate the signing key. The token has to be accepted
+    // while its key is the current key and also once it is the previous key.
     const auto token = sign(sample(), {old_key, std::nullopt});
     for (const auto& ring :
          {key_ring{old_key, std::nullopt},
@@ -61,29 +61,29 @@
     CHECK(token.size() < 128);
 }
 
-TEST_CASE("a token that cannot be trusted is refused", "[session]")
+TEST_CASE("an invalid token is rejected", "[session]")
 {
-    // The caller sees bad_session_token with not_run. Somebody changed, cut, kept too long or
-    // borrowed a token, or its key was rotated out; to take it would put the session on a version
-    // that nobody gave it.
+    // A token that was modified, truncated, kept for too long or taken from another organisation,
+    // or whose key was rotated out, must give bad_session_token with not_run. Accepting it could
+    // pin the session to a version that it was not assigned to.
     const std::vector<token_row> rows = {
-        {"the token as it was made", same, "org-a", {new_key, old_key}, now, true},
-        {"rotated-out key", same, "org-a", {newest_key, new_key}},
-        {"key id taken over by another secret",
-         same,
+        {"unchanged token", unchanged, "org-a", {new_key, old_key}, now, true},
+        {"rotated-out key", unchanged, "org-a", {newest_key, new_key}},
+        {"key id reused with another secret",
+         unchanged,
          "org-a",
          {signing_key{key_id{1}, new_key.secret}, std::nullopt}},
-        {"another organisation", same, "org-b"},
-        {"expired", same, "org-a", {new_key, old_key}, sample().expires},
+        {"another organisation", unchanged, "org-b"},
+        {"expired", unchanged, "org-a", {new_key, old_key}, sample().expires},
         {"empty",
          [](const std::string&) {
              return std::string{};
          }},
-        {"cut",
+        {"truncated",
          [](const std::string& token) {
              return token.substr(0, token.size() - 4);
          }},
-        {"longer",
+        {"extended",
          [](const std::string& token) {
              return token + "AAAA";
          }},
@@ -105,7 +105,7 @@
         INFO(row.what);
         const auto read =
             verify(row.change(token), common::organisation_id{row.organisation}, row.ring, row.at);
-        CHECK(read.has_value() == row.taken);
+        CHECK(read.has_value() == row.accepted);
         if (!read) {
             CHECK(read.error().code == common::result_code::bad_session_token);
             CHECK(read.error().run == common::execution::not_run);
@@ -113,7 +113,7 @@
     }
 }
 
-TEST_CASE("no changed letter of a token passes", "[session]")
+TEST_CASE("a token with any character changed is rejected", "[session]")
 {
     const key_ring ring{old_key, std::nullopt};
     const auto token = sign(sample(), ring);
@@ -125,7 +125,7 @@
     }
 }
 
-TEST_CASE("a ring with a short secret or one id twice is found", "[session]")
+TEST_CASE("a key ring with a short secret or a duplicate id is invalid", "[session]")
 {
     CHECK(check({new_key, old_key}));
     CHECK_FALSE(check({signing_key{key_id{1}, "short"}, std::nullopt}));
@@ -133,14 +133,14 @@
     CHECK_FALSE(check({new_key, signing_key{new_key.id, old_key.secret}}));
 }
 
-TEST_CASE("a field that does not fit gives no token", "[session]")
+TEST_CASE("a field that is too long gives no token", "[session]")
 {
     auto content = sample();
     content.session = common::session_id{std::string(max_field_bytes + 1, 's')};
     CHECK(sign(content, {new_key, std::nullopt}).empty());
 }
 
-TEST_CASE("names of two organisations are two claims, models of one name are told apart")
+TEST_CASE("claims of session names distinguish organisations and models")
 {
     using common::model_id;
     using common::organisation_id;
