--- a/source/core/agent/answer_reader.cpp
+++ b/source/core/agent/answer_reader.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint16_t http_first_server_error = 500;
 constexpr auto json_type = "application/json";
 
-/// The engine says that the caller's request is at fault: the caller gets that answer.
+/// True if the engine rejects the request itself. The caller then gets the engine's answer.
 auto is_callers_fault(std::uint16_t status) -> bool
 {
     return status >= http_first_client_error && status < http_first_server_error &&
--- a/source/core/agent/answer_reader.hpp
+++ b/source/core/agent/answer_reader.hpp
@@ -11,23 +11,25 @@
 
 namespace reedramp::agent {
 
-/// Makes the events of one run out of what its backend server answers. Not thread-safe.
+/// Converts the backend server's response to one run into run events. Not thread-safe.
 class answer_reader {
 public:
-    /// `text_limit`: bytes of a streamed answer held for `answer_for_retry`; 0 holds nothing.
+    /// `text_limit`: bytes of a streamed answer's text that are stored for `answer_for_retry`; 0
+    /// stores nothing.
     answer_reader(const messages::run_request& request, std::size_t text_limit);
 
     auto on_head(backend_head head) -> void;
 
-    /// The tokens that this piece brought, if any. An error means that the answer is broken and
-    /// the call is of no more use.
+    /// Returns the tokens in this chunk, if any. An error means that the response is malformed; the
+    /// call is then to be cancelled.
     auto on_chunk(std::string piece) -> common::result<std::optional<messages::tokens_event>>;
 
-    /// The final event: finished, failed, or (when no byte was sent to the backend server) refused.
+    /// Returns the final event: finished, failed, or, if no byte was sent to the backend server,
+    /// refused.
     [[nodiscard]] auto finish(const common::result<void>& outcome) -> messages::run_event;
 
-    /// The finished event with a whole body also where the answer was streamed; nothing if the text
-    /// was too long to hold.
+    /// Returns the finished event with the complete body, also if the answer was streamed. Empty if
+    /// the streamed text exceeded the limit.
     [[nodiscard]] auto answer_for_retry(const messages::finished_event& finished) const
         -> std::optional<messages::finished_event>;
 
@@ -47,7 +49,7 @@
     std::string body;
     stream_reader reader;
     messages::usage unary_usage;
-    /// Text of a streamed answer, held only up to `text_limit`.
+    /// Text of a streamed answer, up to `text_limit` bytes.
     std::string streamed_text;
     bool is_text_complete = true;
 };
--- a/source/core/agent/backend.hpp
+++ b/source/core/agent/backend.hpp
@@ -9,8 +9,9 @@
 #include "common/result.hpp"
 #include "messages/run.hpp"
 
-/// The agent beside a backend server: the last gate before a model engine or a plain service. Pure
-/// state machines; the program `reedramp-agent` gives them sockets, threads and timers.
+/// The agent beside a backend server: makes the final checks before a request reaches a model
+/// engine or a plain service. State machines without I/O; the program `reedramp-agent` adds
+/// sockets, threads and timers.
 namespace reedramp::agent {
 
 /// One HTTP call to the model engine or the plain service.
@@ -21,7 +22,7 @@
     std::string path;
     std::string content_type;
     std::string body;
-    /// The answer is a stream of server-sent events.
+    /// The response is a stream of server-sent events.
     bool stream = false;
 };
 
@@ -30,16 +31,17 @@
     std::string content_type;
 };
 
-/// What the backend server answers. May be called from any thread, one at a time, in the order
-/// head, chunks, done; never from inside `start` itself.
+/// Callbacks for the backend server's response. Called from any thread, one at a time, in the order
+/// head, chunks, done; never from within the hook that starts the call.
 struct backend_events {
     std::function<auto(backend_head head)->void> head;
     std::function<auto(std::string chunk)->void> chunk;
-    /// The end, once. An error's `execution` is `not_run` only when no byte of the call was sent.
+    /// Called once at the end. An error's `execution` is `not_run` only if no byte of the call was
+    /// sent.
     std::function<auto(common::result<void> outcome)->void> done;
 };
 
-/// A call under way. After `cancel`, events that still come are ignored.
+/// A call in flight. Events that arrive after `cancel` are to be ignored by their receiver.
 class backend_handle {
 public:
     virtual ~backend_handle() = default;
--- a/source/core/agent/core_impl.cpp
+++ b/source/core/agent/core_impl.cpp
@@ -69,16 +69,16 @@
         why.run = common::execution::not_run;
         this->table.refuse(item->request.key, why, this->hooks.now());
         ++this->cancelled;
-        log_decision("cancelled before its start", item->request);
+        log_decision("cancelled before start", item->request);
         this->remove_run(item->request.key);
         this->start_queued_runs();
         return;
     }
     if (item->request.repeat == repeat_rule::at_most_once) {
-        // Stopping it would leave its outcome unknown for good. It goes on, and the answer is kept
-        // for the caller's retry. A paused backend server would never end.
+        // Cancelling the call would leave its outcome unknown for good. It continues, and the
+        // answer is kept for the caller's retry. A paused call would never end, so it is resumed.
         item->resume();
-        log_decision("goes on without its caller", item->request);
+        log_decision("caller disconnected; run continues", item->request);
         return;
     }
     auto why = make_error(result_code::cancelled);
@@ -113,7 +113,7 @@
     common::log(
         common::log_part::agent,
         common::log_level::info,
-        "leaving; queued work goes back count=" + std::to_string(unstarted.size()));
+        "draining; refusing queued requests count=" + std::to_string(unstarted.size()));
     for (const auto& item : unstarted) {
         this->refuse(item, make_error(result_code::server_leaving));
     }
@@ -140,7 +140,8 @@
         }
     }
     return static_cast<std::size_t>(std::count_if(left.begin(), left.end(), [this](auto& item) {
-        return this->fail_run(item, make_error(result_code::server_lost, "agent had to stop"));
+        return this->fail_run(
+            item, make_error(result_code::server_lost, "agent stopped before the run ended"));
     }));
 }
 
@@ -163,7 +164,7 @@
 auto core_impl::ask(const messages::outcome_query& query) -> messages::outcome_answer
 {
     if (query.key.incarnation != this->options.incarnation) {
-        // A predecessor may have run it; nobody knows any more.
+        // A previous incarnation may have run it; its records are gone.
         messages::outcome_answer unknown;
         unknown.why = make_error(result_code::wrong_incarnation);
         unknown.why->run = common::execution::unknown;
--- a/source/core/agent/core_impl.hpp
+++ b/source/core/agent/core_impl.hpp
@@ -13,8 +13,8 @@
 
 namespace reedramp::agent {
 
-/// The implementation of `core`. The request table has shards of its own; what is queued or running
-/// is under one lock, since the queue's order is one decision over all of it.
+/// Implementation of `core`. The request table is sharded; the queue and the running requests share
+/// one lock, because the fair queue orders requests across all of them.
 class core_impl final : public core, public std::enable_shared_from_this<core_impl> {
 public:
     core_impl(core_options options, core_hooks hooks);
@@ -28,7 +28,7 @@
     auto fail_all_runs() -> std::size_t override;
     [[nodiscard]] auto counters() const -> core_counters override;
 
-    /// The caller of this run has left.
+    /// Cancels a run whose caller has disconnected.
     auto cancel(const std::shared_ptr<run>& item) -> void;
 
 private:
@@ -39,14 +39,15 @@
     auto admit_run(const run_ptr& item) -> void;
     auto answer_duplicate(const run_ptr& item, const messages::outcome_answer& known) -> void;
 
-    /// Refuses, queues, or holds for a newer configuration.
+    /// Refuses the run, queues it, or makes it wait for a newer configuration.
     auto check_and_enqueue(const run_ptr& item) -> void;
     auto wait_for_configuration(const run_ptr& item) -> void;
     auto on_configuration_timeout(const messages::run_key& key) -> void;
     auto enqueue(const run_ptr& item) -> void;
     auto try_push(const run_ptr& item) -> common::result<void>;
 
-    /// Starts what the backend server has room for and refuses what has become hopeless.
+    /// Starts queued runs while the backend server has capacity; refuses runs that cannot finish in
+    /// time any more.
     auto start_queued_runs() -> void;
     auto refuse_late_runs() -> void;
     auto pop_next() -> run_ptr;
@@ -56,10 +57,10 @@
     auto make_backend_events(const run_ptr& item) -> backend_events;
     auto on_deadline(const messages::run_key& key) -> void;
 
-    /// Ends what has not been started: recorded first, told second.
+    /// Ends a run that has not started. The refusal is recorded before it is sent.
     auto refuse(const run_ptr& item, common::error why) -> void;
 
-    /// Ends what has been started. False if it had ended.
+    /// Ends a run that has started. False if it had already ended.
     auto on_backend_done(const run_ptr& item, const common::result<void>& outcome) -> bool;
     auto fail_run(const run_ptr& item, common::error why) -> bool;
     auto record_end(const run_ptr& item, const messages::run_event& event, messages::usage used)
@@ -80,11 +81,11 @@
 
     mutable std::mutex lock;
     placement::fair_queue queue;
-    /// Queued and running.
+    /// Queued and running requests.
     std::map<messages::run_key, run_ptr> runs;
-    /// Waiting for a configuration as new as the entry's.
+    /// Requests that wait until the configuration is as new as the one the entry used.
     std::map<messages::run_key, run_ptr> awaiting_configuration;
-    /// The earliest timer that is set for the queue.
+    /// Time of the earliest timer set for the queue.
     common::time_point queue_check_at = common::never;
 
     std::atomic<bool> is_draining = false;
--- a/source/core/agent/core_impl_admission.cpp
+++ b/source/core/agent/core_impl_admission.cpp
@@ -1,4 +1,4 @@
-/// The way of a request from its arrival into the queue.
+/// Admission of requests: checks, recording and queueing.
 
 #include "agent/core_impl.hpp"
 
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// The reader's side of one run.
+/// Handle of one run, held by the receiver of its events.
 class run_control final : public messages::run_handle {
 public:
     run_control(std::shared_ptr<core_impl> owner_core, std::shared_ptr<run> its_run)
@@ -42,7 +42,7 @@
     -> std::shared_ptr<messages::run_handle>
 {
     request.repeat = request_checks::repeat_rule_for(request, *this->hooks.snapshot());
-    // A deadline further away than this would let a record expire while copies may still come.
+    // With a later deadline a record could expire while copies of the request may still arrive.
     const auto max_time_left = this->options.record_window / 2;
     const auto deadline = this->hooks.now() + std::min(request.time_left, max_time_left);
     auto item = std::make_shared<run>(
@@ -58,7 +58,7 @@
 {
     const auto& key = item->request.key;
     if (key.incarnation != this->options.incarnation) {
-        // No record is needed: this incarnation never runs what was sent to another one.
+        // No record is needed: this incarnation never runs requests sent to another one.
         item->end();
         this->send_refusal(item, make_error(result_code::wrong_incarnation));
         return;
@@ -81,7 +81,7 @@
 auto core_impl::answer_duplicate(const run_ptr& item, const messages::outcome_answer& known) -> void
 {
     if (known.finished) {
-        log_decision("kept answer given", item->request);
+        log_decision("answered from the kept answer", item->request);
         item->outbox.send(*known.finished);
         return;
     }
@@ -98,7 +98,7 @@
     if (known.state == outcome_state::failed && known.why) {
         why.run = known.why->run;
     }
-    log_decision("copy not run", item->request, error_fields(why));
+    log_decision("duplicate request not run", item->request, error_fields(why));
     item->outbox.send(messages::failed_event{why, known.used});
 }
 
@@ -149,8 +149,8 @@
     if (this->hooks.fetch_configuration) {
         this->hooks.fetch_configuration(item->request.configuration);
     }
-    // It may have come, or a drain may have begun, between the first look and the entry in
-    // `awaiting_configuration`.
+    // The configuration may have arrived, or a drain may have begun, between the check and the
+    // insertion into `awaiting_configuration`.
     this->configuration_changed();
 }
 
@@ -200,7 +200,8 @@
 {
     const auto& request = item->request;
     const std::lock_guard guard(this->lock);
-    // Checked under the lock under which `drain` empties the queue; else work could slip in after.
+    // Checked under the same lock that `drain` holds while it empties the queue, so that no request
+    // can be queued after that.
     if (this->is_draining) {
         return common::failure(result_code::server_leaving);
     }
--- a/source/core/agent/core_impl_dispatch.cpp
+++ b/source/core/agent/core_impl_dispatch.cpp
@@ -1,4 +1,4 @@
-/// The way of a request from the queue through the backend server to its final event.
+/// Dispatch of queued requests to the backend server, up to their final events.
 
 #include "agent/core_impl.hpp"
 
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// So that a timer that fires early can't make the queue's check run in a circle.
+/// Keeps a timer that fires early from rescheduling the queue check in a busy loop.
 constexpr common::duration min_queue_check_delay = std::chrono::milliseconds(1);
 
 } // namespace
@@ -46,7 +46,9 @@
         }
     }
     for (const auto& item : late) {
-        this->refuse(item, make_error(result_code::deadline_too_near, "waited too long"));
+        this->refuse(
+            item,
+            make_error(result_code::deadline_too_near, "not enough time left after queueing"));
     }
 }
 
@@ -106,7 +108,7 @@
         return;
     }
     if (!this->table.start(request.key)) {
-        this->fail_run(item, make_error(result_code::internal_error, "record is missing"));
+        this->fail_run(item, make_error(result_code::internal_error, "request has no record"));
         return;
     }
     ++this->started;
--- a/source/core/agent/engine_protocol.cpp
+++ b/source/core/agent/engine_protocol.cpp
@@ -39,7 +39,7 @@
     return text == nullptr ? std::string() : std::string(text->data(), text->size());
 }
 
-/// 0 if the member is missing, negative or no whole number.
+/// Returns 0 if the member is missing, negative or not an integer.
 auto count_member(const json::object& from, std::string_view name) -> common::token_count
 {
     const auto* found = from.if_contains({name.data(), name.size()});
@@ -61,7 +61,7 @@
         count_member(*used, "prompt_tokens"), count_member(*used, "completion_tokens")};
 }
 
-/// The first of `choices`, if it is there and an object.
+/// Returns the first element of `choices`; null if there is none or it is not an object.
 auto first_choice(const json::object& answer) -> const json::object*
 {
     const auto* choices = answer.if_contains("choices");
@@ -75,8 +75,8 @@
     return start == std::string_view::npos ? std::string_view() : text.substr(start);
 }
 
-/// Asks for the rest of an answer, in both ways that engines know: one skips the tokens itself, the
-/// other continues a last message of the assistant.
+/// Requests the rest of an answer in both ways that engines support: skipping the tokens sent
+/// before, or continuing a final assistant message.
 auto request_continuation(json::object& body, const messages::run_request& request) -> void
 {
     body[resume_field] = request.sent_tokens.value();
@@ -95,7 +95,7 @@
 {
     auto body = parse_json_object(request.body);
     if (!body) {
-        return failure(result_code::malformed_json, "body is not a JSON object");
+        return failure(result_code::malformed_json, "request body is not a JSON object");
     }
     (*body)["model"] = request.version.value();
     (*body)["stream"] = request.stream;
@@ -106,7 +106,7 @@
     if (request.max_tokens.value() > 0) {
         (*body)["max_tokens"] = request.max_tokens.value();
     }
-    // Where the answer starts is the entry's to say, never the caller's.
+    // Only the entry may set where the answer starts, never the caller.
     body->erase(resume_field);
     if (request.sent_tokens.value() > 0) {
         request_continuation(*body, request);
@@ -120,7 +120,7 @@
     const auto* choice = answer ? first_choice(*answer) : nullptr;
     const auto* message = choice == nullptr ? nullptr : object_member(*choice, "message");
     if (message == nullptr) {
-        return failure(result_code::server_failed, "engine's answer has another shape");
+        return failure(result_code::server_failed, "engine's answer has no chat message");
     }
     engine_answer result;
     result.used = usage_of(*answer).value_or(messages::usage{});
@@ -164,7 +164,7 @@
     this->is_broken = this->is_broken || this->unparsed.size() > line_limit;
     if (this->is_broken) {
         this->unparsed.clear();
-        return failure(result_code::server_failed, "engine's stream cannot be read");
+        return failure(result_code::server_failed, "malformed event stream from the engine");
     }
     return content;
 }
@@ -174,7 +174,7 @@
     if (!line.empty() && line.back() == '\r') {
         line.remove_suffix(1);
     }
-    // Comments, empty lines and other fields of server-sent events carry nothing for us.
+    // Comments, empty lines and other fields of server-sent events are ignored.
     if (this->is_ended || !line.starts_with(data_prefix)) {
         return true;
     }
--- a/source/core/agent/event_outbox.cpp
+++ b/source/core/agent/event_outbox.cpp
@@ -14,7 +14,7 @@
     auto* last = this->pending.empty() ? nullptr
                                        : std::get_if<messages::tokens_event>(&this->pending.back());
     if (tokens != nullptr && last != nullptr) {
-        // Tokens that the reader has not taken yet travel in one message.
+        // Tokens not delivered yet are merged into one message.
         last->count += tokens->count;
         last->text += tokens->text;
         return;
@@ -68,7 +68,7 @@
 
 auto event_outbox::deliver() -> void
 {
-    // Destroyed after the lock is free: what the reader holds may call back.
+    // Destroyed after unlocking, since destroying the sink may call back into this object.
     messages::run_sink dropped;
     while (true) {
         messages::run_event next;
--- a/source/core/agent/registration.cpp
+++ b/source/core/agent/registration.cpp
@@ -12,7 +12,7 @@
 
 constexpr common::duration retry_delay = std::chrono::milliseconds(200);
 
-/// One registration under way; kept alive by its timers and the log's answers.
+/// One registration in progress; kept alive by its timers and log callbacks.
 class registration_attempt final : public std::enable_shared_from_this<registration_attempt> {
 public:
     registration_attempt(
@@ -28,7 +28,7 @@
         this->hooks.timer(deadline, [self = this->shared_from_this()] {
             self->finish(
                 common::incarnation_id{self->hooks.random() | random_incarnation_bit},
-                "log gave no offset in time");
+                "registration timed out; chose a random number");
         });
         this->append();
     }
--- a/source/core/agent/registration.hpp
+++ b/source/core/agent/registration.hpp
@@ -12,7 +12,7 @@
 
 namespace reedramp::agent {
 
-/// Set in an incarnation that was drawn at random, so that it is never a log offset of another.
+/// Set in a random incarnation, so that it never equals a log offset.
 inline constexpr std::uint64_t random_incarnation_bit = std::uint64_t{1} << 63U;
 
 struct registration_record {
@@ -23,7 +23,7 @@
     common::wall_time_ms at;
 };
 
-/// {"server":...,"host":...,"rpc":...,"at":...}
+/// Serialises the record as {"server":...,"host":...,"rpc":...,"at":...}.
 auto format_registration(const registration_record& record) -> std::string;
 
 struct registration_hooks {
@@ -33,11 +33,11 @@
     common::random_hook random;
 };
 
-/// Finds this process's incarnation: the offset of its own record in the stream `registrations`,
-/// or, when the log gives none before `deadline`, a random number.
+/// Determines this process's incarnation: the offset of its own record in the stream
+/// `registrations` or, if no append is answered before `deadline`, a random number.
 ///
-/// An append whose answer was lost is repeated: a second record of the same process is harmless,
-/// since only an offset that an answer brought is used. `done` is called once.
+/// An append without an answer is repeated. A second record of the same process is harmless, since
+/// only an offset from an answer is used. `done` is called once.
 auto register_agent(
     registration_hooks hooks,
     const registration_record& record,
--- a/source/core/agent/registration_watcher.cpp
+++ b/source/core/agent/registration_watcher.cpp
@@ -17,12 +17,11 @@
     -> common::result<common::log_offset>
 {
     if (answer.head < this->cursor) {
-        return common::failure(common::result_code::log_unavailable, "the replica is behind");
+        return common::failure(common::result_code::log_unavailable, "log replica lags behind");
     }
     for (const auto& item : answer.records) {
         this->cursor = std::max(this->cursor, item.offset);
-        // A copy of the own record is no other agent's: the append was repeated when its answer
-        // was lost.
+        // A copy of the own record comes from a repeated append, not from another agent.
         if (item.data == this->own_record) {
             continue;
         }
--- a/source/core/agent/registration_watcher.hpp
+++ b/source/core/agent/registration_watcher.hpp
@@ -8,19 +8,19 @@
 
 namespace reedramp::agent {
 
-/// Follows the stream `registrations` from an agent's own record on, to learn of a newer agent of
-/// the same backend server. Not thread-safe.
+/// Reads the stream `registrations` from the agent's own record on, to detect a newer agent of the
+/// same backend server. Not thread-safe.
 class registration_watcher {
 public:
-    /// `text` is the agent's own record, `own` the offset that an answer brought for it.
+    /// `text` is the agent's own record and `own` its offset from the append's answer.
     registration_watcher(common::server_id server, std::string text, common::log_offset own);
 
-    /// The offset to read after.
+    /// Offset after which to read next.
     [[nodiscard]] auto read_after() const -> common::log_offset { return this->cursor; }
 
-    /// Takes the answer to a read after `read_after()`. Gives the newest registration of the server
-    /// when all that the log holds was read, 0 when there is more to read. Errors with
-    /// `log_unavailable` when the answer is of a replica that is behind: it proves nothing.
+    /// Applies the answer to a read after `read_after()`. Returns the offset of the server's newest
+    /// registration if the log was read to its head, 0 if there is more to read. Errors with
+    /// `log_unavailable` if the answer comes from a replica that lags behind.
     auto apply(const platform::read_answer& answer) -> common::result<common::log_offset>;
 
 private:
--- a/source/core/agent/request_checks.cpp
+++ b/source/core/agent/request_checks.cpp
@@ -23,8 +23,8 @@
            server.versions.end();
 }
 
-/// A pinned session and a stream that goes on are no new work for a version whose state is
-/// uncertain; for a withdrawn one they are refused like all else.
+/// Requests of a pinned session and resumed streams are not new work, so a version whose state is
+/// uncertain still serves them. For a withdrawn version they are refused too.
 auto origin_of(const messages::run_request& request) -> rules::work_origin
 {
     const auto goes_on = request.sent_tokens.value() > 0;
@@ -44,7 +44,7 @@
         return tl::unexpected(version.error());
     }
     if ((*version)->model != request.model) {
-        return failure(result_code::unknown_model, "version is of another model");
+        return failure(result_code::unknown_model, "version belongs to another model");
     }
     if (!rules::allowed(current, owner, **version)) {
         return failure(result_code::organisation_not_allowed, "version");
--- a/source/core/agent/request_checks.hpp
+++ b/source/core/agent/request_checks.hpp
@@ -6,29 +6,29 @@
 #include "inventory/state.hpp"
 #include "messages/run.hpp"
 
-/// The last look at the rules before a backend server gets a request. An entry may decide by an
-/// older configuration, or be wrong; what this agent knows counts as well.
+/// Final checks of a request against the agent's own configuration. They catch requests from an
+/// entry that has an older configuration or decided wrongly.
 namespace reedramp::agent::request_checks {
 
-/// The entry decided by a newer configuration than this one. The agent must not run the request by
-/// its older one: a withdrawal may be what it lacks.
+/// True if the entry used a newer configuration than `current`. The request must wait for it, since
+/// the newer configuration may withdraw the version.
 auto needs_newer_configuration(
     const messages::run_request& request, const inventory::state& current) -> bool;
 
-/// Whether the rules let this backend server run the request. Errors, all `not_run`: `not_ready`,
-/// `organisation_not_allowed`, `unknown_model`, `version_withdrawn`, `stale_configuration`,
-/// `no_capacity` for what this backend server does not serve.
+/// Checks that this backend server may run the request. Errors, all `not_run`: `not_ready`,
+/// `organisation_not_allowed`, `unknown_model`, `version_withdrawn`, `stale_configuration`, and
+/// `no_capacity` if this backend server does not serve the version or service.
 auto check(
     const messages::run_request& request,
     const inventory::state& current,
     const inventory::rules::freshness& fresh,
     const common::server_id& server) -> common::result<void>;
 
-/// The stricter of what the entry says and what the inventory says of the service's method.
+/// Returns the stricter of the entry's repeat rule and the inventory's rule for the method.
 auto repeat_rule_for(const messages::run_request& request, const inventory::state& current)
     -> messages::repeat_rule;
 
-/// Whether new work of this version may come to this backend server. An empty version asks about a
+/// True if this backend server accepts new requests for the version. An empty version stands for a
 /// plain service.
 auto can_serve(
     const inventory::state& current,
--- a/source/core/agent/request_table.cpp
+++ b/source/core/agent/request_table.cpp
@@ -21,7 +21,7 @@
     return answer.body.size() + answer.content_type.size() + answer.finish_reason.size();
 }
 
-/// There is no room to record a refusal, so that none can be promised.
+/// Answer if a refusal cannot be recorded and therefore cannot be guaranteed.
 auto records_full() -> messages::outcome_answer
 {
     messages::outcome_answer answer;
@@ -124,8 +124,7 @@
         this->expire_later(key, now);
         return rejected{common::make_error(code, is_late_copy ? "late copy" : "records are full")};
     }
-    // A refusal that is not recorded would not hold against a second copy, so it is not promised:
-    // the answer is "unknown".
+    // An unrecorded refusal would not stop a later copy, so the outcome is reported as `unknown`.
     return duplicate{records_full()};
 }
 
--- a/source/core/agent/request_table.hpp
+++ b/source/core/agent/request_table.hpp
@@ -19,57 +19,58 @@
 namespace reedramp::agent {
 
 struct request_table_limits {
-    /// How long an ended request is remembered.
+    /// How long the record of an ended request is kept.
     common::duration window{};
-    /// Records that new work may use.
+    /// Records available to new requests.
     std::size_t records = 0;
-    /// Further records, for refusals only.
+    /// Additional records for refusals only.
     std::size_t reserve = 0;
     std::size_t kept_bytes = 0;
-    /// A larger answer is not kept.
+    /// A larger answer is not stored.
     std::size_t kept_answer_bytes = 0;
 };
 
-/// The key is new and is now recorded as queued: it may run.
+/// The request is new and is now recorded as queued; it may run.
 struct admitted {};
 
-/// It never runs; the refusal is recorded.
+/// The request never runs; the refusal is recorded.
 struct rejected {
     common::error why;
 };
 
-/// It does not run because of this copy, but another copy ran, runs, or may have run.
+/// This copy of the request does not run, but another copy ran, runs, or may have run.
 struct duplicate {
     messages::outcome_answer outcome;
 };
 
 using admission = std::variant<admitted, rejected, duplicate>;
 
-/// Remembers each request id and attempt before it runs, and how it ended.
+/// Records each request id and attempt before it runs, and its outcome.
 ///
-/// Without it, a copy that arrives after an entry was told "not run" would run: the caller sees its
-/// request done twice. Records live for the window after their end. At the bound new work is
-/// refused, never an old record dropped.
+/// Without these records a delayed copy could run after an entry was answered "not run", and the
+/// request would run twice. A record is kept for the window after its end. If the table is full,
+/// new requests are refused; no record is dropped early.
 ///
-/// Thread-safe; shards by request id. Never calls out.
+/// Thread-safe; sharded by request id. Calls no hooks.
 class request_table {
 public:
     explicit request_table(request_table_limits limits);
 
-    /// Records a key before anything else is done for it. An at-most-once request is admitted only
-    /// if all its earlier attempts were refused here. An attempt lower than a recorded one is a
+    /// Records a key before any other step. An at-most-once request is admitted only if all its
+    /// earlier attempts were refused here. An attempt with a lower number than a recorded one is a
     /// late copy and is refused.
     auto admit(const messages::run_key& key, messages::repeat_rule repeat, common::time_point now)
         -> admission;
 
-    /// Moves a queued key to running. False if it is not queued (any more): then it must not start.
+    /// Moves a queued key to running. False if it is not queued any more; it must not start then.
     auto start(const messages::run_key& key) -> bool;
 
-    /// Ends a key as refused, from queued, or from running when the backend server got no byte.
+    /// Ends a key as refused: a queued one, or a running one if no byte was sent to the backend
+    /// server.
     auto refuse(const messages::run_key& key, common::error why, common::time_point now) -> void;
 
-    /// Ends a running key. `stored_answer`: the answer of an at-most-once request, for retries in
-    /// the window.
+    /// Ends a running key as finished. `stored_answer` is the answer of an at-most-once request,
+    /// kept for retries within the window.
     auto finish(
         const messages::run_key& key,
         messages::usage used,
@@ -82,11 +83,12 @@
         messages::usage used,
         common::time_point now) -> void;
 
-    /// What became of the key. With `refuse_if_unknown` an unknown key is recorded as refused.
+    /// Returns the outcome of the key. With `refuse_if_unknown` an unknown key is recorded as
+    /// refused.
     auto query(const messages::outcome_query& query, common::time_point now)
         -> messages::outcome_answer;
 
-    /// Forgets records whose window has passed.
+    /// Removes records whose window has passed.
     auto expire(common::time_point now) -> void;
 
     [[nodiscard]] auto records() const -> std::size_t { return this->used_records; }
@@ -111,26 +113,26 @@
 
     using attempts = std::vector<record>;
 
-    /// Null if there is none. `Attempts` is `attempts`, const or not.
+    /// Returns null if there is none. `Attempts` is `attempts` or `const attempts`.
     template <typename Attempts>
     static auto find(Attempts& all, common::attempt_number attempt) -> decltype(all.data());
     static auto make_refusal(common::attempt_number attempt, common::result_code code) -> record;
     static auto describe(const record& found_record) -> messages::outcome_answer;
     static auto find_unrefused(const attempts& all) -> const record*;
 
-    /// The answer to a key of which enough is recorded already.
+    /// Decides from the existing records; empty if they do not decide.
     static auto
     find_decision(const attempts& all, const messages::run_key& key, messages::repeat_rule repeat)
         -> std::optional<admission>;
 
-    /// Records a key that is new, as queued or as refused.
+    /// Records a new key as queued or refused.
     auto add_attempt(
         attempts& all,
         const messages::run_key& key,
         messages::repeat_rule repeat,
         common::time_point now) -> admission;
 
-    /// Changes the record of `key`, if `change` says so, and lets it expire.
+    /// Applies `change` to the record of `key` if it has not ended, and schedules its expiry.
     template <typename Change>
     auto end(const messages::run_key& key, common::time_point now, Change change) -> void;
     auto reserve_record(bool for_refusal) -> bool;
@@ -145,7 +147,7 @@
     std::atomic<std::size_t> used_bytes = 0;
 
     std::mutex expiry_lock;
-    /// In the order of their time, since the window is the same for all.
+    /// Ordered by time, since all records have the same window.
     std::deque<expiry> expiries;
 };
 
--- a/source/core/agent/run.cpp
+++ b/source/core/agent/run.cpp
@@ -74,7 +74,7 @@
         return;
     }
     handle->pause();
-    // A resume on another thread may have come just before this pause.
+    // Another thread may have resumed the run just before this pause.
     if (!this->is_paused()) {
         handle->resume();
     }
--- a/source/core/agent/run.hpp
+++ b/source/core/agent/run.hpp
@@ -16,14 +16,14 @@
 namespace reedramp::agent {
 
 enum class run_phase : std::uint8_t {
-    /// For a configuration as new as the entry's.
+    /// Not queued yet; may wait for a configuration as new as the one the entry used.
     waiting,
     queued,
     running,
     ended
 };
 
-/// What a run that has just ended was, for whoever ended it.
+/// State of a run at its end, for the caller that ended it.
 struct ended_run {
     run_phase before = run_phase::waiting;
     /// Null if the backend server was not called.
@@ -31,8 +31,8 @@
     messages::usage used;
 };
 
-/// One request at this agent, from its arrival to its final event. Thread-safe; calls the reader
-/// and the backend server outside its lock.
+/// One request at this agent, from its arrival to its final event. Thread-safe; calls the event
+/// sink and the backend server outside its lock.
 class run {
 public:
     run(messages::run_request request,
@@ -40,18 +40,18 @@
         messages::run_sink sink,
         std::size_t text_limit);
 
-    /// False if it has ended, or is not in phase `from`.
+    /// Changes the phase. False if the run has ended or is not in phase `from`.
     auto change_phase(run_phase from, run_phase to) -> bool;
 
-    /// Ends it for the one caller that comes first; the others get nothing.
+    /// Ends the run. Only the first caller gets a value.
     auto end() -> std::optional<ended_run>;
 
-    /// The same, but only if it has not been started.
+    /// Ends the run if it has not started. Only the first caller gets a value.
     auto end_unless_running() -> std::optional<ended_run>;
 
     [[nodiscard]] auto phase() -> run_phase;
 
-    /// The call has been started; passes on a pause, or the end, that came first.
+    /// Sets the handle of the started call and applies a pause or an end that happened before.
     auto attach_backend(std::shared_ptr<backend_handle> handle) -> void;
 
     auto pause() -> void;
@@ -59,13 +59,13 @@
 
     auto on_head(backend_head head) -> void;
 
-    /// Passes tokens on to the reader. An error means that the answer is broken.
+    /// Sends the chunk's tokens to the sink. An error means that the response is malformed.
     auto on_chunk(std::string piece) -> common::result<void>;
 
-    /// What `outcome` makes of the answer read so far.
+    /// Returns the final event for the response read so far and the call's `outcome`.
     auto final_event(const common::result<void>& outcome) -> messages::run_event;
 
-    /// For a retry of an at-most-once request.
+    /// Returns the answer to keep for retries of an at-most-once request; see `answer_reader`.
     auto answer_for_retry(const messages::finished_event& finished)
         -> std::optional<messages::finished_event>;
 
--- a/source/core/agent/work_cost.cpp
+++ b/source/core/agent/work_cost.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::uint64_t bytes_per_token = 4;
-/// Prompt tokens that take as long as one completion token.
+/// Number of prompt tokens that cost as much as one completion token.
 constexpr std::uint64_t prompt_tokens_per_unit = 16;
-/// An answer's length where the caller gives no limit, and the most that is expected where it does:
-/// callers often give a limit that their answers never reach.
+/// Expected length of an answer without a limit from the caller, and the maximum expected with one.
+/// Callers often set limits that their answers never reach.
 constexpr std::uint64_t default_completion_tokens = 128;
 constexpr std::uint64_t max_expected_completion_tokens = 512;
 
--- a/source/core/agent/work_cost.hpp
+++ b/source/core/agent/work_cost.hpp
@@ -7,15 +7,15 @@
 
 namespace reedramp::agent {
 
-/// What a request is expected to cost the backend server, in completion tokens. A prompt is read
-/// far faster than an answer is written, so that its tokens count for less.
+/// Expected cost of a request for the backend server, in completion tokens. Prompt tokens count for
+/// less, since a prompt is processed much faster than an answer is generated.
 auto expected_cost(const messages::run_request& request) -> common::token_count;
 
-/// What it has cost, in the same measure.
+/// Actual cost of the request, in the same unit.
 auto actual_cost(const messages::run_request& request, const messages::usage& used)
     -> common::token_count;
 
-/// The call that runs the request. Errors: `malformed_json`.
+/// Builds the call that runs the request. Errors: `malformed_json`.
 auto make_backend_call(const messages::run_request& request) -> common::result<backend_call>;
 
 } // namespace reedramp::agent
--- a/source/unit_tests/agent/agent_fixture.hpp
+++ b/source/unit_tests/agent/agent_fixture.hpp
@@ -9,7 +9,7 @@
 #include "agent/core.hpp"
 #include "platform/fake_time.hpp"
 
-/// One agent's core on a virtual clock, with a backend server that does what the test says.
+/// One agent's core on a virtual clock, with a backend server controlled by the test.
 namespace reedramp::agent::test {
 
 using namespace std::chrono_literals;
@@ -59,12 +59,12 @@
     }
 };
 
-/// What one reader saw.
+/// Records the events of one run.
 struct event_recorder {
     std::vector<messages::run_event> events;
     std::shared_ptr<messages::run_handle> handle;
 
-    /// The only final event, as `Event`; null if it is another one or has not come.
+    /// The final event if it is an `Event`; null if it is of another type or has not arrived.
     template <typename Event>
     [[nodiscard]] auto final_event() const -> const Event*
     {
@@ -179,7 +179,7 @@
         this->service = this->core->service();
     }
 
-    /// Ends what still runs, so that calls and readers let go of each other.
+    /// Ends all runs, so that calls and event sinks release each other.
     ~core_fixture()
     {
         this->core->drain();
@@ -204,7 +204,7 @@
         return made;
     }
 
-    /// A call that must not be repeated.
+    /// Call of a method that must run at most once.
     static auto invoice(std::uint64_t id, std::uint32_t attempt = 1) -> messages::run_request
     {
         auto made = chat(id, attempt);
@@ -233,21 +233,22 @@
     auto ask(const messages::run_key& key, bool refuse_if_unknown = true)
         -> messages::outcome_answer
     {
-        messages::outcome_answer seen;
-        this->service.ask(
-            {key, refuse_if_unknown}, [&seen](auto answer) { seen = std::move(answer.value()); });
-        return seen;
+        messages::outcome_answer result;
+        this->service.ask({key, refuse_if_unknown}, [&result](auto answer) {
+            result = std::move(answer.value());
+        });
+        return result;
     }
 
     auto probe(const char* version) -> messages::probe_answer
     {
-        messages::probe_answer seen;
+        messages::probe_answer result;
         this->service.probe(
-            {common::version_id{version}, 0}, [&seen](auto answer) { seen = answer.value(); });
-        return seen;
+            {common::version_id{version}, 0}, [&result](auto answer) { result = answer.value(); });
+        return result;
     }
 
-    /// Puts a changed configuration in force.
+    /// Applies a changed configuration.
     template <typename Change>
     auto configure(Change change) -> void
     {
@@ -274,7 +275,7 @@
     state.withdrawn[common::version_id{version}] = state.offset;
 }
 
-/// Options with one slot, so that the second request queues.
+/// Options with one slot, so that a second request is queued.
 inline auto one_slot() -> core_options
 {
     core_options options;
--- a/source/unit_tests/agent/core_faults_test.cpp
+++ b/source/unit_tests/agent/core_faults_test.cpp
@@ -10,11 +10,11 @@
 using messages::outcome_state;
 using messages::refused_event;
 
-TEST_CASE("The last gate refuses what an entry should not have sent")
+TEST_CASE("The agent refuses requests that an entry should not have sent")
 {
-    // The caller sees a refusal that says "not run". An entry with an older or wrong configuration
-    // sends the request; the agent looks into its own newest configuration; no call is made, and
-    // the refusal is recorded, so that asking about it confirms it.
+    // An entry with an older or wrong configuration sends the request. The agent checks it against
+    // its own newest configuration, makes no call and records the refusal, so that an outcome query
+    // confirms it. The caller sees "not run".
     struct row {
         const char* what;
         std::function<auto(core_fixture& fixture, messages::run_request& request)->void> arrange;
@@ -27,7 +27,7 @@
                 fixture.configure([](auto& s) { withdraw(s, "v1"); });
             },
             "refused version_withdrawn not_run"},
-        row{"withdrawn by a peer while the log is down",
+        row{"withdrawal from a peer while the log is down",
             [](core_fixture& fixture, auto&) {
                 fixture.configure(
                     [](auto& s) { s.withdrawn_early.insert(common::version_id{"v1"}); });
@@ -48,7 +48,7 @@
         row{"version of another server",
             [](core_fixture&, auto& r) { r.version = common::version_id{"v3"}; },
             "refused no_capacity not_run"},
-        row{"sensitive version, configuration too old to be sure",
+        row{"sensitive version, outdated configuration",
             [](core_fixture& fixture, auto& r) {
                 fixture.current_until = fixture.time.now() - 1s;
                 r.version = common::version_id{"v2"};
@@ -66,7 +66,7 @@
                 r.service = common::service_name{"plans"};
             },
             "refused unknown_model not_run"},
-        row{"body that is no JSON object",
+        row{"body that is not a JSON object",
             [](core_fixture&, auto& r) { r.body = "[1"; },
             "refused malformed_json not_run"},
         row{"deadline too near",
@@ -81,16 +81,16 @@
                 r.configuration = common::log_offset{newest.value() + 1};
             },
             "refused server_leaving not_run"},
-        row{"meant for a predecessor",
+        row{"request for a previous incarnation",
             [](core_fixture&, auto& r) { r.key.incarnation = common::incarnation_id{40}; },
             "refused wrong_incarnation not_run"});
     INFO(test_case.what);
     core_fixture fixture;
     auto request = core_fixture::chat(1);
     test_case.arrange(fixture, request);
-    const auto seen = fixture.run(request);
-    CHECK(seen->outcome() == test_case.outcome);
-    CHECK(seen->events.size() == 1);
+    const auto recorder = fixture.run(request);
+    CHECK(recorder->outcome() == test_case.outcome);
+    CHECK(recorder->events.size() == 1);
     CHECK(fixture.backends.empty());
     CHECK(fixture.core->is_idle());
     if (request.key.incarnation == incarnation) {
@@ -99,10 +99,10 @@
     }
 }
 
-TEST_CASE("A withdrawal reaches a request in the queue")
+TEST_CASE("A withdrawal applies to queued requests")
 {
-    // The caller sees "version_withdrawn, not run". The request waits behind another one; the
-    // withdrawal comes meanwhile; when its turn comes, the gate looks again.
+    // The withdrawal arrives while the request is queued behind another one. The rules are checked
+    // again before the start; the caller sees "version_withdrawn, not run".
     core_fixture fixture(one_slot());
     const auto first = fixture.run(core_fixture::chat(1));
     const auto second = fixture.run(core_fixture::chat(2));
@@ -119,70 +119,70 @@
 
 TEST_CASE("An agent behind the entry catches up or refuses")
 {
-    // The caller sees an answer a little later, or a refusal. The entry decided by a record that
-    // the agent has not read; the agent asks for it and waits a bounded time, because the missing
-    // record may be a withdrawal.
+    // The entry used a configuration record that the agent has not read. The agent fetches it and
+    // waits for a bounded time, because the missing record may be a withdrawal. The caller sees a
+    // slightly later answer, or a refusal.
     core_fixture fixture;
     auto request = core_fixture::chat(1);
     request.configuration = common::log_offset{newest.value() + 1};
-    const auto seen = fixture.run(request);
+    const auto recorder = fixture.run(request);
     CHECK(fixture.backends.empty());
     CHECK(fixture.requested_offset == request.configuration);
     CHECK(fixture.ask(request.key).state == outcome_state::queued);
 
-    SECTION("it comes")
+    SECTION("it arrives")
     {
         fixture.configure([](auto&) {});
         CHECK(fixture.backends.size() == 1);
     }
-    SECTION("it comes and is a withdrawal")
+    SECTION("it arrives and is a withdrawal")
     {
         fixture.configure([](auto& s) { withdraw(s, "v1"); });
-        CHECK(seen->outcome() == "refused version_withdrawn not_run");
+        CHECK(recorder->outcome() == "refused version_withdrawn not_run");
     }
-    SECTION("it does not come")
+    SECTION("it does not arrive")
     {
         fixture.time.run_for(core_options{}.configuration_wait_limit - 1ms);
-        CHECK(seen->outcome() == "none");
+        CHECK(recorder->outcome() == "none");
         fixture.time.run_for(1ms);
-        CHECK(seen->outcome() == "refused stale_configuration not_run");
+        CHECK(recorder->outcome() == "refused stale_configuration not_run");
         fixture.configure([](auto&) {});
         CHECK(fixture.backends.empty());
     }
-    SECTION("the agent leaves first")
+    SECTION("the agent drains first")
     {
         fixture.core->drain();
-        CHECK(seen->outcome() == "refused server_leaving not_run");
+        CHECK(recorder->outcome() == "refused server_leaving not_run");
     }
 }
 
-TEST_CASE("A stream arrives whole and in order")
+TEST_CASE("A stream is delivered completely and in order")
 {
     core_fixture fixture;
     auto request = core_fixture::chat(1);
     request.sent_tokens = common::token_count{5};
-    const auto seen = fixture.run(request);
+    const auto recorder = fixture.run(request);
     REQUIRE(fixture.backends.size() == 1);
     CHECK(fixture.backends[0]->call.body.find("\"resume_after_tokens\":5") != std::string::npos);
     fixture.backends[0]->head("text/event-stream");
     fixture.backends[0]->token("t5 ");
     fixture.backends[0]->token("t6 ");
     fixture.backends[0]->end_stream();
-    CHECK(seen->text() == "t5 t6 ");
-    CHECK(std::get<messages::tokens_event>(seen->events[0]).first_index == 5);
-    CHECK(std::get<messages::tokens_event>(seen->events[1]).first_index == 6);
-    REQUIRE(seen->outcome() == "finished");
-    CHECK(seen->final_event<finished_event>()->finish_reason == "stop");
-    CHECK(seen->final_event<finished_event>()->used.prompt_tokens.value() == 7);
+    CHECK(recorder->text() == "t5 t6 ");
+    CHECK(std::get<messages::tokens_event>(recorder->events[0]).first_index == 5);
+    CHECK(std::get<messages::tokens_event>(recorder->events[1]).first_index == 6);
+    REQUIRE(recorder->outcome() == "finished");
+    CHECK(recorder->final_event<finished_event>()->finish_reason == "stop");
+    CHECK(recorder->final_event<finished_event>()->used.prompt_tokens.value() == 7);
     REQUIRE(fixture.usage.size() == 1);
     CHECK(fixture.usage[0].used.completion_tokens.value() == 2);
     CHECK(fixture.core->is_idle());
 }
 
-TEST_CASE("A lost or broken backend server is told as such")
+TEST_CASE("Failures of the backend server are reported")
 {
-    // The caller's entry sees the tokens that were made and then "failed", never an end that looks
-    // whole; what was used is reported. Only when no byte was sent is it a refusal.
+    // The entry gets the tokens generated so far and then "failed", never a regular end, and the
+    // usage is reported. Only if no byte was sent to the backend server is the run refused.
     struct row {
         const char* what;
         std::function<auto(fake_backend& engine)->void> fault;
@@ -195,11 +195,11 @@
             [](fake_backend& e) { e.fail(common::execution::not_run); },
             "refused no_capacity not_run",
             0},
-        row{"lost before its answer",
+        row{"connection lost before the answer",
             [](fake_backend& e) { e.fail(common::execution::unknown); },
             "failed server_lost unknown",
             0},
-        row{"lost mid-stream",
+        row{"connection lost during the stream",
             [](fake_backend& e) {
                 e.head("text/event-stream");
                 e.token("t0 ");
@@ -225,16 +225,16 @@
             },
             "failed server_failed ran",
             1},
-        row{"internal error",
+        row{"HTTP 500",
             [](fake_backend& e) { e.answer("oops", 500); },
             "failed server_failed ran",
             0},
-        row{"caller's fault", [](fake_backend& e) { e.answer("{}", 400); }, "finished", 0});
+        row{"HTTP 400", [](fake_backend& e) { e.answer("{}", 400); }, "finished", 0});
     INFO(test_case.what);
     core_fixture fixture;
-    const auto seen = fixture.run(core_fixture::chat(1));
+    const auto recorder = fixture.run(core_fixture::chat(1));
     test_case.fault(*fixture.backends.at(0));
-    CHECK(seen->outcome() == test_case.outcome);
+    CHECK(recorder->outcome() == test_case.outcome);
     REQUIRE(fixture.usage.size() == 1);
     CHECK(fixture.usage[0].used.completion_tokens.value() == test_case.tokens);
     CHECK(fixture.core->is_idle());
@@ -243,9 +243,8 @@
 
 TEST_CASE("Copies of an at-most-once call never run a second time")
 {
-    // The caller sees its invoice once. Copies of the call, or later attempts of it, come while it
-    // runs, after it ended, and after its answer was lost; the record that was made before the
-    // start keeps each of them from running.
+    // Copies and later attempts of the call arrive while it runs, after it ended, and after its
+    // answer was lost. The record made before the start keeps each of them from running.
     core_fixture fixture;
     const auto first = fixture.run(core_fixture::invoice(1));
     REQUIRE(fixture.backends.size() == 1);
@@ -265,7 +264,7 @@
         CHECK(known.state == outcome_state::finished);
         CHECK(known.finished.value().body == "note 7");
     }
-    SECTION("the entry is lost: the call goes on, and its answer is kept")
+    SECTION("the entry disconnects: the call continues, and its answer is kept")
     {
         first->handle->pause();
         first->handle->cancel();
@@ -278,7 +277,7 @@
             fixture.run(core_fixture::invoice(1, 2))->final_event<finished_event>()->body ==
             "note 7");
     }
-    SECTION("its outcome is lost for good")
+    SECTION("its outcome stays unknown")
     {
         fixture.backends[0]->fail(common::execution::unknown);
         CHECK(first->outcome() == "failed server_lost unknown");
@@ -306,10 +305,10 @@
     CHECK(fixture.backends.size() == 1);
 }
 
-TEST_CASE("A method that the inventory does not call idempotent runs at most once")
+TEST_CASE("A method that the inventory does not list as idempotent runs at most once")
 {
-    // The caller sees one invoice although an entry with an old inventory thinks that the call may
-    // be repeated and sends a second attempt.
+    // An entry with an old inventory treats the call as repeatable and sends a second attempt,
+    // which the agent must not run.
     core_options options;
     options.queue.capacity.slots = 4;
     core_fixture fixture(options);
@@ -321,10 +320,10 @@
     CHECK(fixture.backends.size() == 1);
 }
 
-TEST_CASE("A delayed copy is refused after the entry was told that it is free")
+TEST_CASE("A delayed copy is refused after an outcome query recorded a refusal")
 {
-    // The caller's request is placed elsewhere. The entry lost its connection, asked, and was told
-    // "refused"; the message that was thought lost comes now, and later than a newer attempt.
+    // The entry lost its connection, queried the outcome, got "refused" and placed the request
+    // elsewhere. The delayed message arrives afterwards, also after a newer attempt.
     core_options options;
     options.queue.capacity.slots = 4;
     core_fixture fixture(options);
@@ -341,11 +340,11 @@
     CHECK(fixture.backends.size() == 2);
 }
 
-TEST_CASE("A replaced agent neither runs nor vouches for its predecessor's work")
+TEST_CASE("A new agent neither runs nor reports outcomes of its predecessor's requests")
 {
-    // The caller of an invoice sees "unknown", not a second invoice. The agent is killed before or
-    // after it called the service, nobody can tell; its successor refuses the copy, and when asked
-    // says that it does not know, which does not free the entry to place a call again.
+    // The previous agent was killed before or after it called the service. Its successor refuses
+    // the copy and answers outcome queries with "unknown", so that the entry does not place the
+    // call again.
     core_options options;
     options.incarnation = common::incarnation_id{42};
     core_fixture successor(options);
@@ -357,12 +356,12 @@
     CHECK(successor.backends.empty());
 }
 
-TEST_CASE("A drain cuts no stream and gives queued work back")
+TEST_CASE("A drain lets streams finish and refuses queued requests")
 {
-    // One caller's stream goes on to its end; the other's request is answered by another server. At
-    // the drain the probes say "leaving" at once, queued work is refused and recorded.
+    // The running stream continues to its end. The queued request is refused and recorded, so that
+    // it can be placed elsewhere. Probes report "leaving" at once.
     core_fixture fixture(one_slot());
-    const auto streaming = fixture.run(core_fixture::chat(1));
+    const auto running = fixture.run(core_fixture::chat(1));
     const auto queued = fixture.run(core_fixture::chat(2));
     fixture.backends[0]->head("text/event-stream");
     fixture.backends[0]->token("t0 ");
@@ -374,27 +373,27 @@
     CHECK_FALSE(fixture.core->is_idle());
     fixture.backends[0]->token("t1 ");
     fixture.backends[0]->end_stream();
-    CHECK(streaming->outcome() == "finished");
-    CHECK(streaming->text() == "t0 t1 ");
+    CHECK(running->outcome() == "finished");
+    CHECK(running->text() == "t0 t1 ");
     CHECK(fixture.core->is_idle());
     CHECK(fixture.core->fail_all_runs() == 0);
 }
 
-TEST_CASE("A drain that takes too long counts what it cuts")
+TEST_CASE("A drain beyond its limit fails the remaining runs and counts them")
 {
     core_fixture fixture;
-    const auto seen = fixture.run(core_fixture::chat(1));
+    const auto recorder = fixture.run(core_fixture::chat(1));
     fixture.core->drain();
     CHECK(fixture.core->fail_all_runs() == 1);
-    CHECK(seen->outcome() == "failed server_lost unknown");
+    CHECK(recorder->outcome() == "failed server_lost unknown");
     CHECK(fixture.backends[0]->cancelled);
     CHECK(fixture.core->is_idle());
 }
 
-TEST_CASE("What cannot finish in time is refused at once, with a time to come back")
+TEST_CASE("A request that cannot finish in time is refused at once with a retry time")
 {
-    // The caller sees a refusal right away in place of a time-out. The queue is full, or what is
-    // before the request takes longer than its deadline allows.
+    // The queue is full, or the requests ahead take longer than the deadline allows. The caller
+    // gets a refusal instead of a timeout.
     auto options = one_slot();
     options.queue.max_queued = 2;
     core_fixture fixture(options);
@@ -413,7 +412,7 @@
     CHECK(fixture.probe("v1").estimated_wait > 0s);
 }
 
-TEST_CASE("A queued request is refused when its time runs out")
+TEST_CASE("A queued request is refused when too little time is left")
 {
     core_fixture fixture(one_slot());
     fixture.run(core_fixture::invoice(1));
@@ -423,7 +422,7 @@
     CHECK(fixture.backends.size() == 1);
 }
 
-TEST_CASE("A caller that leaves frees the backend server")
+TEST_CASE("A caller that disconnects frees its slot at the backend server")
 {
     core_fixture fixture(one_slot());
     const auto first = fixture.run(core_fixture::chat(1));
@@ -448,7 +447,7 @@
     CHECK(third->outcome() == "finished");
 }
 
-TEST_CASE("A slow reader pauses the backend server")
+TEST_CASE("A slow receiver pauses the backend call")
 {
     core_fixture fixture(one_slot());
     const auto first = fixture.run(core_fixture::chat(1));
@@ -466,9 +465,9 @@
 TEST_CASE("An idempotent run ends at its deadline")
 {
     core_fixture fixture;
-    const auto seen = fixture.run(core_fixture::chat(1));
+    const auto recorder = fixture.run(core_fixture::chat(1));
     fixture.time.run_for(30s);
-    CHECK(seen->outcome() == "failed deadline_passed ran");
+    CHECK(recorder->outcome() == "failed deadline_passed ran");
     CHECK(fixture.backends[0]->cancelled);
 }
 
--- a/source/unit_tests/agent/core_threads_test.cpp
+++ b/source/unit_tests/agent/core_threads_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Calls that were started and wait for a thread to answer them.
+/// Started calls that are waiting for a thread to answer them.
 class call_list {
 public:
     auto add(std::shared_ptr<fake_backend> call) -> void
@@ -36,7 +36,7 @@
     std::vector<std::shared_ptr<fake_backend>> calls;
 };
 
-/// What one reader saw, from whichever threads.
+/// Checks the events of one run, delivered from any thread.
 struct run_observer {
     std::atomic<std::uint64_t> next_index = 0;
     std::atomic<int> final_events = 0;
@@ -65,11 +65,12 @@
 
 } // namespace
 
-TEST_CASE("Readers on many threads each see one run in order and one end")
+TEST_CASE("With many threads each run's events stay in order and have one end")
 {
-    // Callers send, pause, leave and reach their deadlines on some threads while backend servers
-    // answer on others and a drain begins in between. Each reader sees its tokens in order and then
-    // exactly one final event, never two at a time; one that left sees at most one.
+    // Callers send, pause, cancel and reach their deadlines on some threads while the backend
+    // server answers on others and a drain begins. Each receiver gets its tokens in order, then
+    // exactly one final event, and never two events at a time. A cancelled run has at most one
+    // final event.
     call_list calls;
     std::atomic<std::int64_t> now = 3'600'000'000'000;
     std::mutex posted_lock;
@@ -89,7 +90,7 @@
         const std::lock_guard guard(posted_lock);
         posted.push_back(std::move(action));
     };
-    // Timers fire at once where the pool gets to them, so that some deadlines pass early.
+    // Every third timer is queued to fire at once, so that some deadlines pass early.
     std::atomic<std::uint64_t> timers = 0;
     hooks.timer = [&](common::time_point, std::function<auto()->void> action) {
         if (timers++ % 3 == 0) {
--- a/source/unit_tests/agent/engine_protocol_test.cpp
+++ b/source/unit_tests/agent/engine_protocol_test.cpp
@@ -6,7 +6,7 @@
 
 using common::result_code;
 
-TEST_CASE("The engine's body names the version and keeps the caller's fields")
+TEST_CASE("The engine's request body has the version and the caller's fields")
 {
     messages::run_request request;
     request.version = common::version_id{"draft-2"};
@@ -26,7 +26,7 @@
         INFO(part << " in " << *body);
         CHECK(body->find(part) != std::string::npos);
     }
-    // A caller can't choose where the answer starts.
+    // A caller must not set where the answer starts.
     CHECK(body->find("resume_after_tokens") == std::string::npos);
 
     request.body = R"({"messages":[{"role":"user","content":"q"}]})";
@@ -45,7 +45,7 @@
     }
 }
 
-TEST_CASE("A whole answer is read, and rebuilt for a retry")
+TEST_CASE("A complete answer is parsed and rebuilt for a retry")
 {
     const engine_answer answer{
         {common::token_count{3}, common::token_count{2}}, "length", "say \"hi\""};
@@ -72,7 +72,7 @@
     CHECK(unusual->used == messages::usage{});
 }
 
-TEST_CASE("A stream is read alike however it is cut")
+TEST_CASE("A stream is parsed independently of its chunk boundaries")
 {
     const std::string stream = ": comment\r\n\r\n"
                                "event: x\n"
@@ -102,7 +102,7 @@
     }
 }
 
-TEST_CASE("A stream that cannot be read breaks and stays broken")
+TEST_CASE("A malformed stream fails and keeps failing")
 {
     for (const auto& broken :
          {std::string("data: {]\n"),
--- a/source/unit_tests/agent/event_outbox_test.cpp
+++ b/source/unit_tests/agent/event_outbox_test.cpp
@@ -7,10 +7,10 @@
 
 namespace reedramp::agent {
 
-TEST_CASE("Events reach the reader in order, one at a time, and end with the final one")
+TEST_CASE("Events are delivered in order, one at a time, and end with the final one")
 {
-    // The reader sees a final event and nothing after it. While it handles an event, more come
-    // (from another thread, or from inside itself); delivered at once they would overtake the rest.
+    // While the receiver handles an event, more are sent, by another thread or by the receiver
+    // itself. Immediate delivery would reorder them. Nothing is delivered after the final event.
     std::string seen;
     event_outbox* outbox = nullptr;
     const auto token = [](std::uint64_t index) {
@@ -39,7 +39,7 @@
     CHECK(seen == "<01><23><end>");
 }
 
-TEST_CASE("A reader that has left sees nothing more and is let go")
+TEST_CASE("After close nothing is delivered and the sink is released")
 {
     auto held = std::make_shared<int>(0);
     event_outbox outbox([held](const messages::run_event&) { ++*held; });
--- a/source/unit_tests/agent/program_test.cpp
+++ b/source/unit_tests/agent/program_test.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Keeps the answer.
+/// Stores the response.
 class recording_responder final : public http::responder {
 public:
     auto send(http::response answer) -> void override { this->response = std::move(answer); }
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("The operations interface answers by table")
+TEST_CASE("The operations interface checks path, method, key and state")
 {
     struct row {
         const char* method;
@@ -88,7 +88,7 @@
     CHECK(drained == test_case.drains);
 }
 
-TEST_CASE("An engine is to have what is listed for it and not withdrawn")
+TEST_CASE("The plan for an engine has its listed versions without withdrawn ones")
 {
     const common::server_id server{"s"};
     const common::version_id v1{"v1"};
@@ -106,16 +106,16 @@
     CHECK(plan_for(current, server).wanted.empty());
 }
 
-TEST_CASE("An agent that starts while the platform is down refuses, and ends when told")
+TEST_CASE("An agent that starts while the platform is down refuses requests and shuts down")
 {
-    // The caller is answered by another server. Log and list of hosts can't be reached: the agent
-    // takes a random incarnation, answers probes, refuses work for lack of a configuration, and a
-    // shutdown ends it without cutting anything.
+    // The log and the list of hosts are unreachable. The agent takes a random incarnation, answers
+    // probes, refuses requests for lack of a configuration, and a shutdown ends it without failed
+    // runs.
     agent_settings wanted;
     wanted.shared_key = "a key that tests share";
     wanted.rpc = {"127.0.0.1", 0};
     wanted.http = {"127.0.0.1", 0};
-    // Nothing listens on port 1.
+    // No process listens on port 1.
     wanted.backend = wanted.log = wanted.hosts = {"127.0.0.1", 1};
     wanted.backend_idle = wanted.log_timeout = 1s;
     wanted.registration_limit = 50ms;
@@ -170,7 +170,7 @@
     CHECK_FALSE(daemon::read_secret("", "REEDRAMP_TEST_UNSET"));
 }
 
-TEST_CASE("The settings' defaults make sense together, and the key is not among them")
+TEST_CASE("The default settings are valid except for the shared key")
 {
     const auto parsed = settings::parse(settings_schema(), R"({
         "server": "s1", "host": "h1", "data_centre": "d1",
--- a/source/unit_tests/agent/registration_test.cpp
+++ b/source/unit_tests/agent/registration_test.cpp
@@ -10,11 +10,11 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("An agent's incarnation is never that of another life")
+TEST_CASE("An agent's incarnation is unique across restarts")
 {
-    // The caller sees no call run twice across a restart. Each life of the agent needs a number of
-    // its own, whatever the log does: the offset of a record that it appended, or, with the log
-    // down, a random number that no offset can equal.
+    // If two agent processes had the same incarnation, a call could run twice across a restart. The
+    // incarnation is the offset of a record that the process appended or, if the log is
+    // unavailable, a random number that no offset can equal.
     struct row {
         const char* what;
         platform::log_faults faults;
@@ -25,14 +25,14 @@
     constexpr std::uint64_t random_bits = 77;
     const auto test_case = GENERATE(
         row{"log works", {}, 0s, 2},
-        row{"answer lost once, then found by a second record", {false, {}, 1, 0, 0}, 100ms, 3},
+        row{"answer lost once, then a second record is appended", {false, {}, 1, 0, 0}, 100ms, 3},
         row{"log down for a moment", {true, {}, 0, 0, 0}, 500ms, 2},
         row{"log down", {true, {}, 0, 0, 0}, 1h, random_bits | random_incarnation_bit},
         row{"log too slow", {false, 10s, 0, 0, 0}, 1h, random_bits | random_incarnation_bit});
     INFO(test_case.what);
     platform::fake_time time{common::time_point{1h}};
     platform::fake_log log(time.clock(), time.timers());
-    log.put(platform::streams::registrations, "an earlier life");
+    log.put(platform::streams::registrations, "an earlier process");
     log.set_faults(test_case.faults);
     time.at(time.now() + test_case.faulty_for, [&log] { log.set_faults({}); });
 
--- a/source/unit_tests/agent/request_table_test.cpp
+++ b/source/unit_tests/agent/request_table_test.cpp
@@ -33,11 +33,10 @@
 
 } // namespace
 
-TEST_CASE("A full table refuses new work and forgets nothing")
+TEST_CASE("A full table refuses new requests and removes no record")
 {
-    // The caller sees "not run" from a server that is full. Refusals still find room in the
-    // reserve, so that a later copy is refused too; past it nothing is promised, and the answer is
-    // "unknown".
+    // Refusals of a full table use the reserved records, so that a later copy is refused too. When
+    // the reserve is used up, a refusal cannot be guaranteed and the answer is "unknown".
     request_table table(limits(2, 2));
     CHECK(is_admitted(table, key(1), repeat_rule::idempotent));
     CHECK(is_admitted(table, key(2), repeat_rule::idempotent));
@@ -60,7 +59,7 @@
     CHECK(table.records() == 4);
 }
 
-TEST_CASE("Records live for the window after their end, open ones for ever")
+TEST_CASE("Records expire a window after their end; unfinished ones never do")
 {
     request_table table(limits(10, 0));
     CHECK(is_admitted(table, key(1), repeat_rule::at_most_once));
@@ -81,11 +80,11 @@
     CHECK(table.records() == 1);
 }
 
-TEST_CASE("Kept answers are bounded, and none is dropped for a newer one")
+TEST_CASE("Stored answers are bounded, and none is evicted for a newer one")
 {
-    // The caller of a new at-most-once request sees "not run" while the room for kept answers is
-    // used up; retries of the earlier ones still get theirs. An answer larger than the bound for
-    // one is not kept; its retry hears that it ran.
+    // A new at-most-once request is refused ("not run") while the space for stored answers is used
+    // up; retries of earlier requests still get theirs. An answer above the limit for one answer is
+    // not stored; its retry gets the outcome only.
     request_table table(limits(100, 10));
     messages::finished_event answer;
     for (std::uint64_t id : {1U, 2U, 3U}) {
@@ -102,10 +101,10 @@
     CHECK(table.query({key(2)}, start_time).finished);
 }
 
-TEST_CASE("Of many threads with copies of one request, one may run it")
+TEST_CASE("At most one of many concurrent copies of a request runs")
 {
-    // Entries' threads bring copies and attempts of the same request at the same moment, and ask
-    // about it; whatever the order, at most one copy of an at-most-once request starts.
+    // Threads concurrently submit copies and attempts of one request and query its outcome. In any
+    // order, at most one copy of an at-most-once request may start.
     for (std::uint64_t round = 0; round < 200; ++round) {
         request_table table(limits(100, 100));
         std::atomic<int> starts = 0;
