--- a/source/core/entry/attempt.cpp
+++ b/source/core/entry/attempt.cpp
@@ -199,11 +199,11 @@
         }
     }
     else {
-        http::response answer;
-        answer.status = finished.http_status;
-        answer.headers.push_back({"Content-Type", finished.content_type});
-        answer.body = finished.body;
-        send_response(*item, std::move(answer));
+        http::response response;
+        response.status = finished.http_status;
+        response.headers.push_back({"Content-Type", finished.content_type});
+        response.body = finished.body;
+        send_response(*item, std::move(response));
     }
     item->attempt.phase = attempt_phase::none;
     report_attempt_end(*item, attempt_end::answered, common::result_code::ok);
--- a/source/core/entry/placer.cpp
+++ b/source/core/entry/placer.cpp
@@ -137,13 +137,13 @@
 auto placer::has_recent_probes(const pending& item, const placement::probe_plan& plan) -> bool
 {
     const auto now = this->hooks.now();
-    const auto least = now + this->settings.pool.lifetime - this->settings.recent_probe_age;
+    const auto min_expiry = now + this->settings.pool.lifetime - this->settings.recent_probe_age;
     const auto has_preferred = item.request.session_hash != 0 || item.request.prefix_hash != 0;
     const auto& preferred = item.set->candidates[plan.targets.front()];
     auto knows_preferred = !has_preferred;
     std::size_t recent = 0;
     for (const auto& probe : this->pool.fresh(item.request.version, now)) {
-        if (probe.expires < least) {
+        if (probe.expires < min_expiry) {
             continue;
         }
         ++recent;
@@ -153,11 +153,11 @@
     return knows_preferred && recent >= wanted;
 }
 
-auto placer::send_probes(const pending_ptr& item, const std::vector<std::size_t>& ask) -> void
+auto placer::send_probes(const pending_ptr& item, const std::vector<std::size_t>& targets) -> void
 {
-    item->outstanding_probes = ask.size();
+    item->outstanding_probes = targets.size();
     const messages::probe_request request{item->query.version, item->query.prefix_hash};
-    for (const auto index : ask) {
+    for (const auto index : targets) {
         this->hooks.probe(
             item->set->addresses[index],
             request,
--- a/source/core/entry/placer.hpp
+++ b/source/core/entry/placer.hpp
@@ -91,7 +91,7 @@
     [[nodiscard]] auto make_candidates(const placement_query& query) const -> candidate_ptr;
     [[nodiscard]] auto has_recent_probes(const pending& item, const placement::probe_plan& plan)
         -> bool;
-    auto send_probes(const pending_ptr& item, const std::vector<std::size_t>& ask) -> void;
+    auto send_probes(const pending_ptr& item, const std::vector<std::size_t>& targets) -> void;
     auto on_all_probes_answered(const pending_ptr& item) -> void;
     auto apply_probe(
         const common::version_id& version,
--- a/source/core/entry/recovery.cpp
+++ b/source/core/entry/recovery.cpp
@@ -28,7 +28,7 @@
 
 auto combine_execution(common::execution left, common::execution right) -> common::execution
 {
-    const auto weight = [](common::execution value) {
+    const auto severity = [](common::execution value) {
         switch (value) {
         case common::execution::not_run:
             return 0;
@@ -40,7 +40,7 @@
         return 2;
     };
     return std::max(
-        left, right, [&weight](auto one, auto other) { return weight(one) < weight(other); });
+        left, right, [&severity](auto one, auto other) { return severity(one) < severity(other); });
 }
 
 auto choose_recovery(const recovery_input& facts) -> recovery_action
--- a/source/core/entry/reply.cpp
+++ b/source/core/entry/reply.cpp
@@ -51,15 +51,16 @@
 
 } // namespace
 
-auto add_reedramp_headers(const exchange& item, http::response& answer) -> void
+auto add_reedramp_headers(const exchange& item, http::response& response) -> void
 {
-    answer.headers.push_back(
+    response.headers.push_back(
         {std::string(header_names::request_id), common::to_string(item.billing_id)});
     if (!item.version.value().empty()) {
-        answer.headers.push_back({std::string(header_names::version), item.version.value()});
+        response.headers.push_back({std::string(header_names::version), item.version.value()});
     }
     if (item.pin && item.headers.session_token) {
-        answer.headers.push_back({std::string(header_names::session), *item.headers.session_token});
+        response.headers.push_back(
+            {std::string(header_names::session), *item.headers.session_token});
     }
 }
 
@@ -76,21 +77,21 @@
         return;
     }
     item.response = response_phase::ended;
-    auto answer = problem_response(why, item.billing_id, item.context->hooks.now());
+    auto response = problem_response(why, item.billing_id, item.context->hooks.now());
     if (!item.version.value().empty()) {
-        answer.headers.push_back({std::string(header_names::version), item.version.value()});
+        response.headers.push_back({std::string(header_names::version), item.version.value()});
     }
-    item.responder->send(std::move(answer));
+    item.responder->send(std::move(response));
 }
 
-auto send_response(exchange& item, http::response answer) -> void
+auto send_response(exchange& item, http::response response) -> void
 {
     if (item.response != response_phase::none) {
         return;
     }
     item.response = response_phase::ended;
-    add_reedramp_headers(item, answer);
-    item.responder->send(std::move(answer));
+    add_reedramp_headers(item, response);
+    item.responder->send(std::move(response));
 }
 
 auto send_chunk(exchange& item, std::string_view text) -> void
--- a/source/core/entry/reply.hpp
+++ b/source/core/entry/reply.hpp
@@ -11,14 +11,14 @@
 namespace reedramp::entry {
 
 /// Adds the request id, and the version and session token if present.
-auto add_reedramp_headers(const exchange& item, http::response& answer) -> void;
+auto add_reedramp_headers(const exchange& item, http::response& response) -> void;
 
 /// Sends an error: a problem+json response, or an error event if a stream has started. Does nothing
 /// if the response is already complete.
 auto send_error(exchange& item, const common::error& why) -> void;
 
 /// Sends a complete response.
-auto send_response(exchange& item, http::response answer) -> void;
+auto send_response(exchange& item, http::response response) -> void;
 
 /// Sends a chunk of a stream, and before the first one the stream's head.
 auto send_chunk(exchange& item, std::string_view text) -> void;
--- a/source/core/entry/responses.cpp
+++ b/source/core/entry/responses.cpp
@@ -86,20 +86,20 @@
     const common::error& why, const common::request_id& request, common::time_point now)
     -> http::response
 {
-    http::response answer;
-    answer.status = common::row_of(why.code).http_status;
-    answer.headers.push_back({"Content-Type", std::string(problem_type)});
-    answer.headers.push_back({std::string(header_names::request_id), common::to_string(request)});
+    http::response response;
+    response.status = common::row_of(why.code).http_status;
+    response.headers.push_back({"Content-Type", std::string(problem_type)});
+    response.headers.push_back({std::string(header_names::request_id), common::to_string(request)});
     if (why.code == common::result_code::unauthenticated) {
-        answer.headers.push_back({"WWW-Authenticate", "Bearer"});
+        response.headers.push_back({"WWW-Authenticate", "Bearer"});
     }
     if (why.retry_at) {
         const auto wait = std::chrono::ceil<std::chrono::seconds>(*why.retry_at - now).count();
         const auto seconds = std::max<std::int64_t>(wait, 1);
-        answer.headers.push_back({"Retry-After", std::to_string(seconds)});
+        response.headers.push_back({"Retry-After", std::to_string(seconds)});
     }
-    answer.body = problem_text(why, request);
-    return answer;
+    response.body = problem_text(why, request);
+    return response;
 }
 
 auto models_response(const std::vector<listed_model>& models) -> http::response
@@ -119,15 +119,15 @@
     const common::version_id& version,
     common::wall_time_ms expires) -> http::response
 {
-    auto answer = json_response(
+    auto response = json_response(
         201,
         json::serialize(json::object{
             {"session", session.value()},
             {"token", std::string(token)},
             {"version", version.value()},
             {"expires_ms", expires.value()}}));
-    answer.headers.push_back({std::string(header_names::session), std::string(token)});
-    return answer;
+    response.headers.push_back({std::string(header_names::session), std::string(token)});
+    return response;
 }
 
 sse_writer::sse_writer(
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -180,7 +180,7 @@
     test.run(1).tokens(5, 1);
     test.run(2).finish();
     CHECK(caller->streamed_text() == token_text(0, 10));
-    CHECK(caller->is_whole_stream());
+    CHECK(caller->is_complete_stream());
     CHECK(test.subject->counters().late_events == 4);
     REQUIRE(test.bills.size() == 1);
     REQUIRE(test.bills[0].lines.size() == 3);
@@ -200,7 +200,7 @@
     test.run(1).tokens(2, 4);
     test.run(1).finish();
     CHECK(caller->streamed_text() == token_text(0, 6));
-    CHECK(caller->is_whole_stream());
+    CHECK(caller->is_complete_stream());
 }
 
 // No server can continue a stream: there is no other one, or more text was sent than is kept. The
@@ -219,7 +219,7 @@
         test.run(0).fail(result_code::server_failed, execution::ran);
         CHECK(test.runs.size() == 1);
         CHECK(caller->finished);
-        CHECK_FALSE(caller->is_whole_stream());
+        CHECK_FALSE(caller->is_complete_stream());
         CHECK(caller->problem_name() == "server_failed");
         CHECK(caller->execution() == "ran");
         CHECK(test.bills.size() == 1);
@@ -413,7 +413,7 @@
     core_fixture test;
     const auto caller = test.chat(streamed);
     test.run(0).tokens(0, 3);
-    caller->leave();
+    caller->disconnect();
     CHECK(test.run(0).cancelled);
     test.run(0).tokens(3, 3);
     test.time.run_for(std::chrono::seconds(1));
@@ -457,12 +457,12 @@
     CHECK(late->head.status == 200);
     test.run(0).tokens(0, 2);
     test.run(0).finish();
-    CHECK(first->is_whole_stream());
+    CHECK(first->is_complete_stream());
     CHECK_FALSE(aborted_count.has_value());
     test.time.run_for(std::chrono::seconds(11));
     CHECK(aborted_count == 1);
     CHECK(second->problem_name() == "shutting_down");
-    CHECK_FALSE(second->is_whole_stream());
+    CHECK_FALSE(second->is_complete_stream());
     const auto refused = test.chat();
     CHECK(refused->problem_name() == "shutting_down");
     CHECK(refused->execution() == "not_run");
--- a/source/unit_tests/entry/core_fixture.cpp
+++ b/source/unit_tests/entry/core_fixture.cpp
@@ -12,18 +12,18 @@
 
 namespace json = boost::json;
 
-auto fake_caller::send(http::response answer) -> void
+auto fake_caller::send(http::response response) -> void
 {
     ++this->answers;
-    this->head = answer;
-    this->body = std::move(answer.body);
+    this->head = response;
+    this->body = std::move(response.body);
     this->finished = true;
 }
 
-auto fake_caller::start(http::response answer) -> void
+auto fake_caller::start(http::response response) -> void
 {
     ++this->answers;
-    this->head = std::move(answer);
+    this->head = std::move(response);
 }
 
 auto fake_caller::write(std::string chunk) -> void
@@ -61,7 +61,7 @@
     }
 }
 
-auto fake_caller::leave() -> void
+auto fake_caller::disconnect() -> void
 {
     this->disconnected();
 }
@@ -118,7 +118,7 @@
     return text;
 }
 
-auto fake_caller::is_whole_stream() const -> bool
+auto fake_caller::is_complete_stream() const -> bool
 {
     return this->finished && this->body.ends_with("data: [DONE]\n\n");
 }
--- a/source/unit_tests/entry/core_fixture.hpp
+++ b/source/unit_tests/entry/core_fixture.hpp
@@ -18,7 +18,7 @@
 /// A responder that records what the caller receives.
 class fake_caller final : public http::responder {
 public:
-    auto send(http::response answer) -> void override;
+    auto send(http::response response) -> void override;
     auto start(http::response head) -> void override;
     auto write(std::string chunk) -> void override;
     auto finish() -> void override;
@@ -31,7 +31,7 @@
 
     /// Empties the backlog, as if the socket had sent everything.
     auto drain() -> void;
-    auto leave() -> void;
+    auto disconnect() -> void;
 
     /// Result code name and execution state of the problem object, taken from a response or from
     /// the error event of a stream.
@@ -40,7 +40,7 @@
     [[nodiscard]] auto header(std::string_view name) const -> std::string;
     /// Text of all chunks of the stream.
     [[nodiscard]] auto streamed_text() const -> std::string;
-    [[nodiscard]] auto is_whole_stream() const -> bool;
+    [[nodiscard]] auto is_complete_stream() const -> bool;
 
     /// Number of responses that were started; more than one is a defect.
     int answers = 0;
--- a/source/unit_tests/whole_path/calls.cpp
+++ b/source/unit_tests/whole_path/calls.cpp
@@ -66,7 +66,7 @@
 
 auto is_answered(const fake_caller& caller) -> bool
 {
-    const auto is_whole = is_stream(caller) ? caller.is_whole_stream() : caller.finished;
+    const auto is_whole = is_stream(caller) ? caller.is_complete_stream() : caller.finished;
     return is_whole && caller.head.status == 200;
 }
 
--- a/source/unit_tests/whole_path/schedule.cpp
+++ b/source/unit_tests/whole_path/schedule.cpp
@@ -186,7 +186,7 @@
     call.has_left = true;
     call.at->alive->post([caller = call.caller] {
         if (!caller->finished) {
-            caller->leave();
+            caller->disconnect();
         }
     });
 }
--- a/source/unit_tests/whole_path/schedule_checks.cpp
+++ b/source/unit_tests/whole_path/schedule_checks.cpp
@@ -123,7 +123,7 @@
 {
     const auto& caller = *call.caller;
     const auto text = caller.streamed_text();
-    const auto is_whole = caller.is_whole_stream();
+    const auto is_whole = caller.is_complete_stream();
     const auto is_right = is_whole ? text == wanted : wanted.starts_with(text);
     const auto says_so = is_whole || !caller.finished || !caller.problem_name().empty();
     if (!is_right || !says_so) {
--- a/source/unit_tests/whole_path/whole_path_test.cpp
+++ b/source/unit_tests/whole_path/whole_path_test.cpp
@@ -59,7 +59,7 @@
     CHECK(plain->head.status == 200);
     CHECK(plain->header("Reedramp-Version") == "v2");
     CHECK(answer_of(*plain) == fleet::answer_text("p1", "v2"));
-    CHECK(stream->is_whole_stream());
+    CHECK(stream->is_complete_stream());
     CHECK(stream->streamed_text() == fleet::answer_text("p2", "v2"));
     CHECK(answer_of(*limited) == fleet::answer_text("p3", "v1"));
     CHECK(note->body == "done p4");
@@ -171,7 +171,7 @@
     all.log.set_faults({});
     all.run(15s);
     CHECK(running->streamed_text() == fleet::answer_text("p1", "v2"));
-    CHECK(running->is_whole_stream());
+    CHECK(running->is_complete_stream());
     CHECK(all.entry_at("e1").left);
     CHECK(all.entry_at("e1").cut == 0);
     const auto bills = billed_requests(all);
