--- a/source/core/router/barred_records.cpp
+++ b/source/core/router/barred_records.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Between the tries of two entries: a write, and the words that say it is done.
+/// Delay between the attempts of two entries: time for a write and for the report that it is done.
 constexpr std::chrono::milliseconds rank_delay{600};
-/// After a call that failed.
+/// Pause after a failed call.
 constexpr std::chrono::milliseconds pause{500};
 
 auto log_record(const std::string& what, routing::request_fingerprint print, bool is_done) -> void
@@ -45,11 +45,11 @@
         return;
     }
     if (due->age >= rank_delay * static_cast<int>(this->rank())) {
-        this->write(*due);
+        this->write_record(*due);
     }
 }
 
-auto barred_records::write(const routing::barred_report& one) -> void
+auto barred_records::write_record(const routing::barred_report& one) -> void
 {
     this->is_busy = true;
     const auto age = static_cast<std::uint64_t>(one.age.count());
@@ -64,25 +64,25 @@
                 self->core->crashes.note_recorded(print);
                 return;
             }
-            // Done or not: writing it twice changes nothing.
+            // The write may have been done; writing it twice changes nothing.
             self->next_try = self->core->hooks.clock() + pause;
         });
 }
 
-auto barred_records::take(const std::vector<barred_record>& all) -> void
+auto barred_records::apply_stored(const std::vector<barred_record>& all) -> void
 {
     const auto today = this->unix_ms();
     for (const auto& one : all) {
         const std::chrono::milliseconds age{
             static_cast<std::int64_t>(today - std::min(one.unix_ms, today))};
-        this->core->hear_barred({one.print, age, age, true}, "store");
+        this->core->apply_barred_report({one.print, age, age, true}, "store");
         if (!this->core->crashes.is_barred(one.print) && this->rank() == 0) {
-            this->drop(one);
+            this->drop_record(one);
         }
     }
 }
 
-auto barred_records::drop(const barred_record& one) -> void
+auto barred_records::drop_record(const barred_record& one) -> void
 {
     this->store.drop_barred(one.print, [print = one.print](const auto& dropped) {
         log_record("dropped", print, dropped.has_value());
--- a/source/core/router/barred_records.hpp
+++ b/source/core/router/barred_records.hpp
@@ -8,29 +8,30 @@
 
 namespace reedramp::router {
 
-/// Keeps the requests that end servers in the store. All entries may be killed in one moment, and
-/// what they know is gone with them: the request then ended as many servers again.
+/// Persists barred requests, which crash servers, in the store. Without the records, the request
+/// would crash as many servers again after all entries were killed at once.
 ///
-/// One small record a request, written once: by the first entry, by rank, that is not told in time
-/// that another one has. Who starts without a neighbour reads them with the entries' own records.
+/// Each request has one small record. It is written once, by the first entry in rank order that has
+/// not heard in time that another one wrote it. An entry that starts without a neighbour reads the
+/// records together with those of the entries.
 class barred_records : public std::enable_shared_from_this<barred_records> {
 public:
-    /// `rank` gives this entry's place among all; the one with place 0 writes at once, each further
-    /// one waits that much longer.
+    /// `rank` returns this entry's rank among all. The entry of rank 0 writes at once, and each
+    /// further one waits one more delay.
     barred_records(
         std::shared_ptr<router_core> core,
         shared_store store,
         std::function<auto()->std::size_t> rank);
 
-    /// Writes what the store lacks. Call it some times a second.
+    /// Writes records that the store lacks. Call it several times a second.
     auto tick() -> void;
 
-    /// What the store has. Records that count no more are taken out by the first entry.
-    auto take(const std::vector<barred_record>& all) -> void;
+    /// Applies the records read from the store. The entry of rank 0 deletes expired ones.
+    auto apply_stored(const std::vector<barred_record>& all) -> void;
 
 private:
-    auto write(const routing::barred_report& one) -> void;
-    auto drop(const barred_record& one) -> void;
+    auto write_record(const routing::barred_report& one) -> void;
+    auto drop_record(const barred_record& one) -> void;
     [[nodiscard]] auto unix_ms() const -> std::uint64_t;
 
     std::shared_ptr<router_core> core;
--- a/source/core/router/caller_request.cpp
+++ b/source/core/router/caller_request.cpp
@@ -35,9 +35,9 @@
     return value;
 }
 
-/// Calls `action` for each piece of `text` between commas.
+/// Calls `action` for each trimmed item of the comma-separated `text`.
 template <typename Action>
-auto for_each_piece(std::string_view text, Action action) -> void
+auto for_each_item(std::string_view text, Action action) -> void
 {
     while (!text.empty()) {
         const auto comma = std::min(text.find(','), text.size());
@@ -49,7 +49,7 @@
 auto parse_parts(std::string_view text) -> std::vector<prompt_part>
 {
     std::vector<prompt_part> parts;
-    for_each_piece(text, [&parts](std::string_view piece) {
+    for_each_item(text, [&parts](std::string_view piece) {
         const auto colon = piece.find(':');
         const auto tokens = colon == std::string_view::npos
                                 ? std::nullopt
@@ -59,14 +59,14 @@
     return parts;
 }
 
-auto bad(std::string_view name) -> tl::unexpected<common::error>
+auto bad_header_error(std::string_view name) -> tl::unexpected<common::error>
 {
     return common::failure(common::result_code::bad_header, std::string{name});
 }
 
-/// Headers of one connection (RFC 9110, 7.6.1). "Expect" is answered here; a server that saw it
-/// would send an interim answer that nobody waits for.
-auto concerns_one_connection(std::string_view name) -> bool
+/// Whether the header is hop-by-hop (RFC 9110, 7.6.1). "Expect" is handled by this entry; a server
+/// that saw it would send an interim response that nobody waits for.
+auto is_hop_by_hop(std::string_view name) -> bool
 {
     static constexpr auto names = std::to_array<std::string_view>(
         {"Connection",
@@ -83,38 +83,39 @@
     return std::ranges::any_of(names, [name](auto one) { return same_name(one, name); });
 }
 
-/// Names that the sender's own Connection header lists.
-auto listed_by_connection(const std::vector<http::header>& headers) -> std::vector<std::string>
+/// Header names listed by the Connection headers.
+auto connection_header_names(const std::vector<http::header>& headers) -> std::vector<std::string>
 {
     std::vector<std::string> names;
     for (const auto& item : headers) {
         if (same_name(item.name, "Connection")) {
-            for_each_piece(
+            for_each_item(
                 item.value, [&names](std::string_view name) { names.emplace_back(name); });
         }
     }
     return names;
 }
 
-auto holds(const std::vector<std::string>& names, std::string_view name) -> bool
+auto contains_name(const std::vector<std::string>& names, std::string_view name) -> bool
 {
     return std::ranges::any_of(names, [name](const auto& one) { return same_name(one, name); });
 }
 
 } // namespace
 
-auto read_caller_request(const http::request& asked, const header_names& names, time_point received)
+auto read_caller_request(
+    const http::request& request, const header_names& names, time_point received)
     -> common::result<caller_request>
 {
     caller_request read;
-    for (const auto& [name, value] : asked.headers) {
+    for (const auto& [name, value] : request.headers) {
         if (same_name(name, names.attempt)) {
             read.attempt = value;
         }
         else if (same_name(name, names.deadline_ms)) {
             const auto wait = parse_number<std::int64_t>(value);
             if (!wait) {
-                return bad(name);
+                return bad_header_error(name);
             }
             read.deadline = received + std::chrono::milliseconds{*wait};
         }
@@ -136,7 +137,7 @@
         else if (same_name(name, last_event_header)) {
             const auto id = parse_number<std::int64_t>(value);
             if (!id || *id < 0) {
-                return bad(name);
+                return bad_header_error(name);
             }
             read.last_event = *id;
         }
@@ -148,67 +149,67 @@
                                     : parse_number<std::uint64_t>(
                                           trimmed(std::string_view{value}.substr(comma + 1)));
             if (!prompt || !answer) {
-                return bad(name);
+                return bad_header_error(name);
             }
             read.prompt_tokens = *prompt;
-            read.most_answer_tokens = *answer;
+            read.max_answer_tokens = *answer;
         }
     }
     if (read.attempt.empty()) {
-        return bad(names.attempt);
+        return bad_header_error(names.attempt);
     }
     return read;
 }
 
-auto make_forwarded(
-    const http::request& asked, const header_names& names, const forward_headers& ours)
+auto make_server_request(
+    const http::request& request, const header_names& names, const forward_headers& added)
     -> http::request
 {
     http::request sent;
-    sent.method = asked.method;
-    sent.target = asked.target;
-    sent.body = asked.body;
-    const auto listed = listed_by_connection(asked.headers);
-    for (const auto& item : asked.headers) {
+    sent.method = request.method;
+    sent.target = request.target;
+    sent.body = request.body;
+    const auto hop_by_hop = connection_header_names(request.headers);
+    for (const auto& item : request.headers) {
         const bool is_replaced =
             same_name(item.name, names.key) || same_name(item.name, names.organisation) ||
             same_name(item.name, names.expected_server) ||
             same_name(item.name, names.deadline_ms) || same_name(item.name, names.urgency) ||
             same_name(item.name, last_event_header) ||
-            (!ours.model.empty() && same_name(item.name, names.model));
-        // A caller that lists its attempt's id as a header of one connection must not make the
-        // server lose it.
+            (!added.model.empty() && same_name(item.name, names.model));
+        // The attempt id is kept even if the caller's Connection header lists it.
         const bool is_needed = same_name(item.name, names.attempt) || same_name(item.name, "Host");
-        const bool is_dropped = is_replaced || concerns_one_connection(item.name) ||
-                                holds(names.ours_alone, item.name) || holds(listed, item.name);
+        const bool is_dropped = is_replaced || is_hop_by_hop(item.name) ||
+                                contains_name(names.reserved, item.name) ||
+                                contains_name(hop_by_hop, item.name);
         if (is_needed || !is_dropped) {
             sent.headers.push_back(item);
         }
     }
-    sent.headers.push_back({names.deadline_ms, std::to_string(ours.left.count())});
-    sent.headers.push_back({names.expected_server, ours.expected_server});
-    if (!ours.organisation.empty()) {
-        sent.headers.push_back({names.organisation, ours.organisation});
+    sent.headers.push_back({names.deadline_ms, std::to_string(added.remaining.count())});
+    sent.headers.push_back({names.expected_server, added.expected_server});
+    if (!added.organisation.empty()) {
+        sent.headers.push_back({names.organisation, added.organisation});
     }
-    if (!ours.model.empty()) {
-        sent.headers.push_back({names.model, ours.model});
+    if (!added.model.empty()) {
+        sent.headers.push_back({names.model, added.model});
     }
-    if (ours.urgency >= 0) {
-        sent.headers.push_back({names.urgency, std::to_string(ours.urgency)});
+    if (added.urgency >= 0) {
+        sent.headers.push_back({names.urgency, std::to_string(added.urgency)});
     }
-    if (ours.last_event >= 0) {
-        sent.headers.push_back({std::string{last_event_header}, std::to_string(ours.last_event)});
+    if (added.last_event >= 0) {
+        sent.headers.push_back({std::string{last_event_header}, std::to_string(added.last_event)});
     }
     return sent;
 }
 
-auto make_passed_on(const http::response& answer) -> http::response
+auto make_caller_response(const http::response& answer) -> http::response
 {
     http::response passed;
     passed.status = answer.status;
-    const auto listed = listed_by_connection(answer.headers);
+    const auto hop_by_hop = connection_header_names(answer.headers);
     for (const auto& item : answer.headers) {
-        if (!concerns_one_connection(item.name) && !holds(listed, item.name)) {
+        if (!is_hop_by_hop(item.name) && !contains_name(hop_by_hop, item.name)) {
             passed.headers.push_back(item);
         }
     }
--- a/source/core/router/counted_store.cpp
+++ b/source/core/router/counted_store.cpp
@@ -17,12 +17,14 @@
 
 } // namespace
 
-auto counted(shared_store store, router_metrics& counters) -> shared_store
+auto with_call_counts(shared_store store, router_metrics& counters) -> shared_store
 {
     store.read_rules = counting(std::move(store.read_rules), "rules", counters);
     store.read_servers = counting(std::move(store.read_servers), "servers", counters);
-    store.read_outcomes = counting(std::move(store.read_outcomes), "rollout_states", counters);
-    store.write_outcome = counting(std::move(store.write_outcome), "write_rollout_state", counters);
+    store.read_rollout_states =
+        counting(std::move(store.read_rollout_states), "rollout_states", counters);
+    store.write_rollout_state =
+        counting(std::move(store.write_rollout_state), "write_rollout_state", counters);
     store.read_entries = counting(std::move(store.read_entries), "entries", counters);
     store.write_entry = counting(std::move(store.write_entry), "write_entry", counters);
     store.write_barred = counting(std::move(store.write_barred), "write_barred", counters);
--- a/source/core/router/counted_store.hpp
+++ b/source/core/router/counted_store.hpp
@@ -5,7 +5,7 @@
 
 namespace reedramp::router {
 
-/// The same store, with each call counted by its kind: calls are paid for, refused ones too.
-auto counted(shared_store store, router_metrics& counters) -> shared_store;
+/// Wraps the store so that each call is counted by kind. All calls are billed, refused ones too.
+auto with_call_counts(shared_store store, router_metrics& counters) -> shared_store;
 
 } // namespace reedramp::router
--- a/source/core/router/crash_broadcaster.cpp
+++ b/source/core/router/crash_broadcaster.cpp
@@ -9,19 +9,20 @@
 
 namespace {
 
-/// Barred requests that peers are told of, those that came last; as a rule there is none. 600 bytes
-/// each 100 ms at the most.
-constexpr std::size_t most_barred = 16;
+/// Maximum barred requests sent to peers, the most recently seen first; usually there are none. At
+/// most 600 bytes every 100 ms.
+constexpr std::size_t max_barred_reported = 16;
 
-/// Adds what was told `ago`, to be told for the second time.
-auto add_again(crash_update& to, const crash_update& told, std::chrono::milliseconds ago) -> void
+/// Adds the events first sent `ago`, to repeat them once with their present ages.
+auto append_repeated(crash_update& to, const crash_update& sent, std::chrono::milliseconds ago)
+    -> void
 {
-    for (auto one : told.lost) {
+    for (auto one : sent.lost) {
         one.age += ago;
         one.sent_age += ago;
         to.lost.push_back(one);
     }
-    for (auto one : told.served) {
+    for (auto one : sent.served) {
         one.age += ago;
         to.served.push_back(one);
     }
@@ -40,75 +41,81 @@
 auto crash_broadcaster::tick() -> void
 {
     const auto now = this->core->hooks.clock();
-    this->check_doubtful();
-    this->tell(now);
-    this->judge(now);
-    this->tell_next();
+    this->check_suspects();
+    this->send_events(now);
+    this->bar_requests(now);
+    this->send_barred_to_next();
 }
 
-auto crash_broadcaster::tell(time_point now) -> void
+auto crash_broadcaster::send_events(time_point now) -> void
 {
-    crash_update news{
+    crash_update update{
         this->self,
         this->core->crashes.take_losses(now),
         this->core->crashes.take_served(now),
         {},
         this->core->era()};
-    const auto before = std::exchange(this->told_once, news);
-    const auto ago = std::chrono::duration_cast<std::chrono::milliseconds>(now - this->told_at);
-    this->told_at = now;
-    add_again(news, before, ago);
-    this->tell_all(news);
+    const auto before = std::exchange(this->last_sent, update);
+    const auto ago =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - this->last_sent_at);
+    this->last_sent_at = now;
+    append_repeated(update, before, ago);
+    this->broadcast(update);
 }
 
-auto crash_broadcaster::tell_all(const crash_update& news) const -> void
+auto crash_broadcaster::broadcast(const crash_update& update) const -> void
 {
-    const auto datagrams = encode_datagrams(news);
+    const auto datagrams = encode_datagrams(update);
     if (datagrams.empty()) {
         return;
     }
-    for (const auto& to : this->hooks.everyone()) {
+    for (const auto& to : this->hooks.live_peers()) {
         for (const auto& bytes : datagrams) {
             this->hooks.send(to, bytes);
         }
     }
 }
 
-auto crash_broadcaster::barred_news(time_point now) const -> crash_update
+auto crash_broadcaster::make_barred_update(time_point now) const -> crash_update
 {
     return {
-        this->self, {}, {}, this->core->crashes.tell_barred(most_barred, now), this->core->era()};
+        this->self,
+        {},
+        {},
+        this->core->crashes.tell_barred(max_barred_reported, now),
+        this->core->era()};
 }
 
-auto crash_broadcaster::tell_barred(const http::endpoint& to) const -> void
+auto crash_broadcaster::send_barred(const http::endpoint& to) const -> void
 {
-    for (const auto& bytes : encode_datagrams(this->barred_news(this->core->hooks.clock()))) {
+    for (const auto& bytes :
+         encode_datagrams(this->make_barred_update(this->core->hooks.clock()))) {
         this->hooks.send(to, bytes);
     }
 }
 
-auto crash_broadcaster::tell_next() -> void
+auto crash_broadcaster::send_barred_to_next() -> void
 {
     if (!this->core->crashes.has_barred()) {
         return;
     }
-    const auto all = this->hooks.everyone();
+    const auto all = this->hooks.live_peers();
     if (all.empty()) {
         return;
     }
-    const auto next = std::ranges::upper_bound(all, this->told_last);
-    this->told_last = next == all.end() ? all.front() : *next;
-    this->tell_barred(this->told_last);
+    const auto next = std::ranges::upper_bound(all, this->last_recipient);
+    this->last_recipient = next == all.end() ? all.front() : *next;
+    this->send_barred(this->last_recipient);
 }
 
-auto crash_broadcaster::check_doubtful() -> void
+auto crash_broadcaster::check_suspects() -> void
 {
     for (const auto& start : this->core->crashes.take_doubtful()) {
         const auto* known = this->core->servers.find(start.id);
         if (known == nullptr || known->start() != start) {
             continue;
         }
-        this->hooks.check(*known, [weak = this->weak_from_this(), start](bool listens) {
+        this->hooks.is_reachable(*known, [weak = this->weak_from_this(), start](bool listens) {
             const auto courier = weak.lock();
             if (courier == nullptr) {
                 return;
@@ -123,7 +130,7 @@
     }
 }
 
-auto crash_broadcaster::judge(time_point now) -> void
+auto crash_broadcaster::bar_requests(time_point now) -> void
 {
     bool is_own = false;
     for (const auto& one : this->core->crashes.judge(now)) {
@@ -136,23 +143,23 @@
                 std::to_string(one.crashes) + " others=" + std::to_string(one.others));
     }
     if (is_own) {
-        this->tell_all(this->barred_news(now));
+        this->broadcast(this->make_barred_update(now));
     }
 }
 
-auto crash_broadcaster::hear(std::string_view datagram) -> void
+auto crash_broadcaster::receive(std::string_view datagram) -> void
 {
-    const auto news = decode_crash_news(datagram);
-    if (!news) {
+    const auto update = decode_crash_news(datagram);
+    if (!update) {
         return;
     }
     const auto now = this->core->hooks.clock();
-    this->core->crashes.hear_losses(news->lost, now);
-    this->core->crashes.hear_served(news->served, now);
-    for (auto one : news->barred) {
-        // In an era that has ended it was recorded for nothing.
-        one.is_recorded = one.is_recorded && news->era == this->core->era();
-        this->core->hear_barred(one, news->host.value());
+    this->core->crashes.hear_losses(update->lost, now);
+    this->core->crashes.hear_served(update->served, now);
+    for (auto one : update->barred) {
+        // A record written in an earlier era of the store no longer exists.
+        one.is_recorded = one.is_recorded && update->era == this->core->era();
+        this->core->apply_barred_report(one, update->host.value());
     }
 }
 
--- a/source/core/router/crash_update.hpp
+++ b/source/core/router/crash_update.hpp
@@ -10,23 +10,24 @@
 
 namespace reedramp::router {
 
-/// What an entry has seen of servers that end, for all others.
+/// Requests that were lost, served or barred at an entry, for all other entries. A barred request
+/// is one that crashes the servers which run it.
 struct crash_update {
     common::host_id host;
     std::vector<routing::loss_report> lost;
     std::vector<routing::served_report> served;
     std::vector<routing::barred_report> barred;
-    /// Of the store, in which `barred` are recorded or not.
+    /// Era of the store in which `barred` are recorded, or not.
     std::uint64_t era = 0;
 };
 
-/// As many datagrams as it takes, each to be read by itself.
-auto encode_datagrams(const crash_update& news) -> std::vector<std::string>;
+/// Encodes the update into as many datagrams as needed. Each is decoded on its own.
+auto encode_datagrams(const crash_update& update) -> std::vector<std::string>;
 
-/// Whether a datagram is meant to be such news, and no other message of a peer.
+/// Whether a datagram holds a crash update rather than another message of a peer.
 auto is_crash_update(std::string_view datagram) -> bool;
 
-/// Error `malformed_request` for bytes that are no such message.
+/// Error `malformed_request` if `bytes` is not a valid update.
 auto decode_crash_news(std::string_view bytes) -> common::result<crash_update>;
 
 } // namespace reedramp::router
--- a/source/core/router/evacuations.cpp
+++ b/source/core/router/evacuations.cpp
@@ -1,45 +1,46 @@
 #include "common/log.hpp"
 #include "router/router_core.hpp"
 
-/// What it means for an entry that operators evacuate a data centre, or take it back.
+/// Part of `router_core` that applies operators' orders to evacuate a data centre and to revoke
+/// that.
 namespace reedramp::router {
 
-auto router_core::learn_evacuations(
-    const routing::evacuation_report& known, const std::string& told_by) -> void
+auto router_core::replace_evacuations(
+    const routing::evacuation_report& known, const std::string& source) -> void
 {
     const auto changed = this->evacuations.replace(known);
-    this->on_evacuations(changed, told_by);
+    this->on_evacuation_change(changed, source);
 }
 
-auto router_core::follow_evacuations(
+auto router_core::apply_evacuation_orders(
     const std::vector<routing::evacuation_order>& orders, stream_position end) -> void
 {
-    this->on_evacuations(this->evacuations.follow(orders, end), "store");
+    this->on_evacuation_change(this->evacuations.follow(orders, end), "store");
 }
 
-auto router_core::on_evacuations(
-    const routing::evacuation_change& changed, const std::string& told_by) -> void
+auto router_core::on_evacuation_change(
+    const routing::evacuation_change& changed, const std::string& source) -> void
 {
     if (changed.is_empty()) {
         return;
     }
-    this->evacuation_changes += 1;
+    this->evacuation_change_count += 1;
     this->servers.close(this->evacuations.evacuated());
     const auto now = this->hooks.clock();
-    const auto log = [&told_by](const char* what, const common::data_centre_id& data_centre) {
+    const auto log = [&source](const char* what, const common::data_centre_id& data_centre) {
         common::log(
             common::log_part::config,
             common::log_level::info,
             std::string{"data centre "} + what + " data_centre=" + data_centre.value() +
-                " told_by=" + told_by);
+                " told_by=" + source);
     };
     for (const auto& data_centre : changed.evacuated) {
         log("evacuated", data_centre);
     }
     for (const auto& data_centre : changed.taken_back) {
-        // Its servers may have started anew while nothing was sent there, and their next word
-        // comes a second or two later.
-        this->servers.doubt_warmth(data_centre, now + this->options.warmth_unknown);
+        // Its servers may have restarted while they received no requests. Their next registration
+        // record takes a second or two.
+        this->servers.doubt_warmth(data_centre, now + this->options.cold_after_evacuation);
         log("taken back", data_centre);
     }
     this->counters.evacuated.set(static_cast<std::int64_t>(this->evacuations.evacuated().size()));
--- a/source/core/router/header_names.hpp
+++ b/source/core/router/header_names.hpp
@@ -3,49 +3,50 @@
 #include <string>
 #include <vector>
 
-/// Requests and answers between callers and backend servers without an agent in between.
+/// Routing of requests straight from callers to backend servers, without an agent in between.
 namespace reedramp::router {
 
-/// Names of the headers that callers and backend servers use. The defaults are the project's own;
-/// an adapter of a platform puts its names in their place.
+/// Names of the HTTP headers exchanged with callers and backend servers. The defaults are the
+/// project's own; a platform adapter replaces them.
 struct header_names {
-    /// Names one attempt of a caller; a server's answer repeats it.
+    /// Id of one attempt of a caller. A server repeats it in its response.
     std::string attempt = "Reedramp-Attempt-Id";
-    /// Milliseconds that the sender still waits.
+    /// Milliseconds for which the sender still waits for the response.
     std::string deadline_ms = "Reedramp-Deadline-Ms";
-    /// The caller's key; never passed on.
+    /// The caller's API key. Never forwarded.
     std::string key = "Reedramp-Key";
-    /// The organisation that holds the key; set for the server.
+    /// Organisation that owns the key. Set on requests to the server.
     std::string organisation = "Reedramp-Organisation";
-    /// Only the server with this id may run the request.
+    /// Id of the only server that may run the request.
     std::string expected_server = "Reedramp-Expect-Server";
-    /// In an answer: the request has not run and never will.
+    /// Response header: the request has not run and never will.
     std::string not_executed = "Reedramp-Not-Executed";
-    /// In an answer: the server's mark that it is the server's own and for which request.
+    /// Response header: the server's signature, which shows that the response is its own and which
+    /// request it belongs to.
     std::string signature = "Reedramp-Signature";
-    /// In an answer: requests running, requests waiting, slots.
+    /// Response header: running requests, waiting requests, and slots.
     std::string load = "Reedramp-Load";
-    /// In an answer: requests a second that the server takes from all entries together, for as long
-    /// as its answers say so.
+    /// Response header: requests per second that the server accepts from all entries together, for
+    /// as long as its responses state it.
     std::string limit = "Reedramp-Server-Limit";
-    /// In an answer: "1" where the server leaves.
+    /// Response header: "1" if the server is leaving.
     std::string leaving = "Reedramp-Server-Leaving";
     std::string model = "Reedramp-Model";
-    /// Tokens of the prompt, most tokens of the answer.
+    /// Prompt tokens and maximum answer tokens, separated by a comma.
     std::string token_counts = "Reedramp-Tokens";
-    /// Parts of the prompt in order, "id:tokens" each, the id in hexadecimal.
+    /// Parts of the prompt in order, each as "id:tokens" with the id in hexadecimal.
     std::string prompt_parts = "Reedramp-Prompt-Parts";
-    /// What the caller expects of the answer's length, in tokens.
+    /// Answer length that the caller expects, in tokens.
     std::string expected_tokens = "Reedramp-Length-Hint";
-    /// How sure the model is of its answer, 0 to 100.
+    /// Response header: the model's confidence in its answer, 0 to 100.
     std::string confidence = "Reedramp-Confidence";
-    /// Requests of one session name it here.
+    /// Id of the session that the request belongs to.
     std::string session = "Reedramp-Session";
-    /// Urgency at a model engine, 0 first.
+    /// Urgency for the model engine; 0 is the most urgent.
     std::string urgency = "Reedramp-Urgency";
-    /// Headers that only this system may set. A caller's own would reserve memory, or make a server
-    /// go on from another request's memory.
-    std::vector<std::string> ours_alone;
+    /// Headers that only this system may set; they are removed from callers' requests. A caller's
+    /// own value could reserve memory, or make a server continue from another request's memory.
+    std::vector<std::string> reserved;
 };
 
 } // namespace reedramp::router
--- a/source/core/router/list_broadcaster.cpp
+++ b/source/core/router/list_broadcaster.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-/// A neighbour answers within some milliseconds; one that does not is given up for another.
-constexpr std::chrono::milliseconds answer_time{250};
+/// A neighbour responds within some milliseconds. After this time another one may be asked.
+constexpr std::chrono::milliseconds query_timeout{250};
 
-/// Lists differ for some hundred milliseconds wherever a server leaves, as that is told on other
-/// ways too. Longer than this something was lost; the list of 620 servers is 66 KB.
-constexpr std::chrono::seconds repaired_after{3};
+/// Lists differ for some hundred milliseconds whenever a server leaves, as that is also reported by
+/// other means. A longer difference means that an update was lost. The list of 620 servers takes 66
+/// KB.
+constexpr std::chrono::seconds repair_delay{3};
 
-/// Ages that entries tell each other are wrong by the messages' time on the way, and by no more.
-constexpr std::chrono::seconds ages_wrong_by{1};
+/// Bound on the error of ages that entries report to each other: the transit time of the message.
+constexpr std::chrono::seconds age_error{1};
 
-/// Rubbish from one neighbour would fill the log.
-constexpr std::chrono::seconds between_rejections_logged{5};
+/// Limits log lines about updates rejected from a faulty neighbour.
+constexpr std::chrono::seconds rejection_log_interval{5};
 
 } // namespace
 
@@ -37,102 +38,103 @@
 {
 }
 
-auto list_broadcaster::news_of(list_part part) const -> list_update
+auto list_broadcaster::make_update(list_part part) const -> list_update
 {
-    list_update news;
-    news.host = this->self;
-    news.address = http::to_string(this->own_address);
-    news.data_centre = this->core->options.data_centre;
-    news.freshness = this->core->freshness.tell(this->core->hooks.clock());
-    news.rules_version = this->core->rules_version();
-    news.digest = this->core->servers.digest();
-    news.part = std::move(part);
-    return news;
+    list_update update;
+    update.host = this->self;
+    update.address = http::to_string(this->own_address);
+    update.data_centre = this->core->options.data_centre;
+    update.freshness = this->core->freshness.tell(this->core->hooks.clock());
+    update.rules_version = this->core->rules_version();
+    update.digest = this->core->servers.digest();
+    update.part = std::move(part);
+    return update;
 }
 
 auto list_broadcaster::publish(const list_part& read) -> void
 {
-    this->told_by.clear();
+    this->source_host.clear();
     auto part = read;
     if (!part.from) {
-        // The first reading changed nothing that a neighbour knew.
+        // The first reading holds no change relative to what neighbours know.
         part = {part.end, part.end, {}};
     }
-    const auto bytes = encode_datagram(this->news_of(std::move(part)));
-    const auto to = this->hooks.audience();
-    for (const auto& where : to.near) {
+    const auto bytes = encode_datagram(this->make_update(std::move(part)));
+    const auto to = this->hooks.recipients();
+    for (const auto& where : to.same_data_centre) {
         this->hooks.send(where, bytes);
     }
-    for (const auto& where : to.far) {
+    for (const auto& where : to.other_data_centres) {
         this->hooks.send(where, bytes);
     }
 }
 
-auto list_broadcaster::pass_on(const list_update& heard, const update_recipients& to) -> void
+auto list_broadcaster::forward(const list_update& received, const update_recipients& to) -> void
 {
-    const bool is_from_afar = heard.data_centre != this->core->options.data_centre;
-    if (!is_from_afar || !to.passes_on) {
+    const bool is_from_afar = received.data_centre != this->core->options.data_centre;
+    if (!is_from_afar || !to.forwards_updates) {
         return;
     }
-    // With this entry's address: who lacks something asks it, and not another data centre.
-    const auto bytes = encode_datagram(this->news_of(heard.part));
-    for (const auto& where : to.near) {
+    // Carries this entry's address, so that receivers ask this entry for missing changes instead of
+    // another data centre.
+    const auto bytes = encode_datagram(this->make_update(received.part));
+    for (const auto& where : to.same_data_centre) {
         this->hooks.send(where, bytes);
     }
 }
 
-auto list_broadcaster::hear(std::string_view datagram) -> void
+auto list_broadcaster::receive(std::string_view datagram) -> void
 {
-    const auto news = decode_datagram(datagram);
-    if (!news) {
-        this->reject("datagram", news.error());
+    const auto update = decode_datagram(datagram);
+    if (!update) {
+        this->reject("datagram", update.error());
         return;
     }
-    const auto from = http::parse_endpoint(news->address);
+    const auto from = http::parse_endpoint(update->address);
     if (!from || *from == this->own_address) {
         return;
     }
-    if (this->hooks.on_heard) {
-        this->hooks.on_heard(*news, *from);
+    if (this->hooks.on_update) {
+        this->hooks.on_update(*update, *from);
     }
-    this->take(*news, *from);
+    this->apply(*update, *from);
 }
 
-auto list_broadcaster::take(const list_update& news, const http::endpoint& from) -> void
+auto list_broadcaster::apply(const list_update& update, const http::endpoint& from) -> void
 {
     const auto now = this->core->hooks.clock();
-    if (this->is_ahead_of_store(news)) {
-        this->reject(news.host.value(), common::make_error(common::result_code::invalid_record));
-        this->list->forget_position();
-        this->ask(from, std::nullopt);
+    if (this->is_ahead_of_store(update)) {
+        this->reject(update.host.value(), common::make_error(common::result_code::invalid_record));
+        this->list->reset_position();
+        this->query(from, std::nullopt);
         return;
     }
-    const auto step = this->list->take_over(news.part);
-    if (step == list_step::gap) {
-        this->ask(from, this->list->known_to());
+    const auto step = this->list->apply_neighbour_part(update.part);
+    if (step == part_result::gap) {
+        this->query(from, this->list->known_to());
     }
-    const bool is_news = this->core->freshness.hear(news.freshness, now);
-    if (is_news) {
-        this->told_by = news.host.value();
-        this->pass_on(news, this->hooks.audience());
+    const bool is_newer = this->core->freshness.hear(update.freshness, now);
+    if (is_newer) {
+        this->source_host = update.host.value();
+        this->forward(update, this->hooks.recipients());
     }
-    this->compare(news, from);
+    this->check_digest(update, from);
 }
 
-auto list_broadcaster::is_ahead_of_store(const list_update& news) const -> bool
+auto list_broadcaster::is_ahead_of_store(const list_update& update) const -> bool
 {
     const auto known_to = this->list->known_to();
-    const auto read_at = this->core->hooks.clock() - news.freshness.age;
-    return known_to && news.part.end < *known_to &&
-           read_at > this->list->handed_at() + ages_wrong_by &&
-           read_at > this->core->freshness.known_current_at() + ages_wrong_by;
+    const auto read_at = this->core->hooks.clock() - update.freshness.age;
+    return known_to && update.part.end < *known_to &&
+           read_at > this->list->neighbour_part_applied_at() + age_error &&
+           read_at > this->core->freshness.known_current_at() + age_error;
 }
 
-auto list_broadcaster::compare(const list_update& news, const http::endpoint& from) -> void
+auto list_broadcaster::check_digest(const list_update& update, const http::endpoint& from) -> void
 {
     const auto now = this->core->hooks.clock();
     const bool differs =
-        this->list->known_to() == news.part.end && this->core->servers.digest() != news.digest;
+        this->list->known_to() == update.part.end && this->core->servers.digest() != update.digest;
     if (!differs) {
         this->differs_since.reset();
         return;
@@ -140,32 +142,32 @@
     if (!this->differs_since) {
         this->differs_since = now;
     }
-    if (now - *this->differs_since >= repaired_after) {
+    if (now - *this->differs_since >= repair_delay) {
         common::log(
             log_part::members,
             log_level::warning,
-            "list differs, asking for all of=" + news.host.value() +
-                " position=" + std::to_string(news.part.end));
+            "list differs, fetching the whole list of=" + update.host.value() +
+                " position=" + std::to_string(update.part.end));
         this->differs_since.reset();
-        this->ask(from, std::nullopt);
+        this->query(from, std::nullopt);
     }
 }
 
-auto list_broadcaster::fetch_from(const http::endpoint& neighbour) -> void
+auto list_broadcaster::fetch_changes_from(const http::endpoint& neighbour) -> void
 {
-    this->ask(neighbour, this->list->known_to());
+    this->query(neighbour, this->list->known_to());
 }
 
-auto list_broadcaster::ask(const http::endpoint& neighbour, std::optional<std::uint64_t> since)
+auto list_broadcaster::query(const http::endpoint& neighbour, std::optional<std::uint64_t> since)
     -> void
 {
     const auto now = this->core->hooks.clock();
-    if (now < this->ask_again_at) {
+    if (now < this->next_query_at) {
         return;
     }
-    this->ask_again_at = now + answer_time;
-    this->core->counters.list_questions.add();
-    this->hooks.ask(
+    this->next_query_at = now + query_timeout;
+    this->core->counters.list_queries.add();
+    this->hooks.query(
         neighbour,
         since,
         [self = this->shared_from_this(), neighbour](const common::result<std::string>& body) {
@@ -177,40 +179,40 @@
     const http::endpoint& from, const common::result<std::string>& body) -> void
 {
     if (!body) {
-        return; // Another neighbour's words ask again, or the store is read.
+        return; // The next report or update triggers another query, or the store is read.
     }
-    const auto news = decode_answer(*body);
-    if (!news) {
-        this->reject(http::to_string(from), news.error());
+    const auto update = decode_answer(*body);
+    if (!update) {
+        this->reject(http::to_string(from), update.error());
         return;
     }
-    this->ask_again_at = this->core->hooks.clock();
-    this->list->take_over(news->part);
-    if (this->core->freshness.hear(news->freshness, this->core->hooks.clock())) {
-        this->told_by = news->host.value();
+    this->next_query_at = this->core->hooks.clock();
+    this->list->apply_neighbour_part(update->part);
+    if (this->core->freshness.hear(update->freshness, this->core->hooks.clock())) {
+        this->source_host = update->host.value();
     }
 }
 
-auto list_broadcaster::answer(std::optional<std::uint64_t> since) const -> std::string
+auto list_broadcaster::make_response(std::optional<std::uint64_t> since) const -> std::string
 {
     if (!this->list->known_to()) {
         return {};
     }
-    return encode_answer(this->news_of(this->list->part_since(since)));
+    return encode_answer(this->make_update(this->list->part_since(since)));
 }
 
 auto list_broadcaster::reject(const std::string& from, const common::error& why) -> void
 {
     this->core->counters.list_rejected.add();
     const auto now = this->core->hooks.clock();
-    if (now < this->next_rejection_logged) {
+    if (now < this->next_rejection_log_at) {
         return;
     }
-    this->next_rejection_logged = now + between_rejections_logged;
+    this->next_rejection_log_at = now + rejection_log_interval;
     common::log(
         log_part::members,
         log_level::warning,
-        "news of the list not taken from=" + from + " why=" + why.detail);
+        "server list update rejected from=" + from + " why=" + why.detail);
 }
 
 } // namespace reedramp::router
--- a/source/core/router/list_broadcaster.hpp
+++ b/source/core/router/list_broadcaster.hpp
@@ -13,37 +13,38 @@
 
 namespace reedramp::router {
 
-/// Whom an entry hands news of the servers' list on to.
+/// Entries to which an entry sends server list updates.
 struct update_recipients {
-    /// Living entries of its own data centre.
-    std::vector<http::endpoint> near;
-    /// Of each other data centre the few that pass it on there.
-    std::vector<http::endpoint> far;
-    /// This entry is one of those few in its own.
-    bool passes_on = true;
+    /// Live entries of this entry's data centre.
+    std::vector<http::endpoint> same_data_centre;
+    /// The few entries of each other data centre that forward updates there.
+    std::vector<http::endpoint> other_data_centres;
+    /// Whether this entry is one of the few that forward updates in its data centre.
+    bool forwards_updates = true;
 };
 
 struct list_broadcaster_hooks {
     std::function<auto(const http::endpoint& to, const std::string& bytes)->void> send;
-    /// Asks a neighbour for what follows a position, or for the whole list.
+    /// Requests the changes after a position from a neighbour, or the whole list.
     std::function<auto(
                       const http::endpoint& of,
                       std::optional<std::uint64_t> since,
                       answer_hook<std::string> done)
                       ->void>
-        ask;
-    std::function<auto()->update_recipients> audience;
-    /// News have come from that entry, which lives. May be empty.
-    std::function<auto(const list_update& from, const http::endpoint& where)->void> on_heard = {};
+        query;
+    std::function<auto()->update_recipients> recipients;
+    /// Called for each update received from an entry, which is therefore alive. May be empty.
+    std::function<auto(const list_update& from, const http::endpoint& where)->void> on_update = {};
 };
 
-/// Hands what one entry has read of the servers' list on to all others, so that calls to the store
-/// go with data centres and changes, and not with entries.
+/// Distributes what one entry has read of the server list to all others, so that the number of
+/// store calls grows with data centres and changes instead of with entries.
 ///
-/// A reading is told at once to the reader's data centre, and to two entries of each other one,
-/// which pass it on: two steps at any size. What is lost on the way shows in the next words of any
-/// peer, as a change that this entry lacks, and is asked for; what no neighbour gives is read from
-/// the store. A list that differs without a missing change is repaired with a neighbour's.
+/// A reading is sent at once to the reader's data centre and to two entries of each other one,
+/// which forward it there: two hops for any number of entries. A lost update shows in the next
+/// report of any peer as a change that this entry lacks. It is then requested from that peer, or
+/// read from the store if no neighbour has it. A list that differs without a missing change is
+/// replaced by a neighbour's.
 class list_broadcaster : public std::enable_shared_from_this<list_broadcaster> {
 public:
     list_broadcaster(
@@ -53,31 +54,32 @@
         http::endpoint own_address,
         list_broadcaster_hooks hooks);
 
-    /// This entry has read the store.
+    /// Sends what this entry has read from the store.
     auto publish(const list_part& read) -> void;
 
-    /// Takes a datagram in; one that is no news changes nothing and is counted.
-    auto hear(std::string_view datagram) -> void;
+    /// Handles a received datagram. An invalid one is counted and otherwise ignored.
+    auto receive(std::string_view datagram) -> void;
 
-    /// A peer's words tell of a change that this entry lacks.
-    auto fetch_from(const http::endpoint& neighbour) -> void;
+    /// Requests missing changes from a neighbour whose report names a change that this entry lacks.
+    auto fetch_changes_from(const http::endpoint& neighbour) -> void;
 
-    /// The answer to a neighbour that lacks what follows `since`, or all. Empty before the first
-    /// reading.
-    [[nodiscard]] auto answer(std::optional<std::uint64_t> since) const -> std::string;
+    /// Builds the response for a neighbour that lacks the changes after `since`, or the whole list.
+    /// Empty before the first reading.
+    [[nodiscard]] auto make_response(std::optional<std::uint64_t> since) const -> std::string;
 
-    /// Who told of the reading that the list rests on; empty if it was this entry's own.
-    [[nodiscard]] auto source() const -> const std::string& { return this->told_by; }
+    /// Host that sent the reading on which the list is based; empty if this entry read it itself.
+    [[nodiscard]] auto source() const -> const std::string& { return this->source_host; }
 
 private:
-    [[nodiscard]] auto news_of(list_part part) const -> list_update;
-    auto pass_on(const list_update& heard, const update_recipients& to) -> void;
-    auto take(const list_update& news, const http::endpoint& from) -> void;
-    /// The store ended before what a neighbour has made this entry believe.
-    [[nodiscard]] auto is_ahead_of_store(const list_update& news) const -> bool;
-    /// Asks for the whole list where it has differed from the neighbour's for too long.
-    auto compare(const list_update& news, const http::endpoint& from) -> void;
-    auto ask(const http::endpoint& neighbour, std::optional<std::uint64_t> since) -> void;
+    [[nodiscard]] auto make_update(list_part part) const -> list_update;
+    auto forward(const list_update& received, const update_recipients& to) -> void;
+    auto apply(const list_update& update, const http::endpoint& from) -> void;
+    /// Whether this entry's list is ahead of the store because of an earlier update from a
+    /// neighbour.
+    [[nodiscard]] auto is_ahead_of_store(const list_update& update) const -> bool;
+    /// Requests the whole list if it has differed from the neighbour's for too long.
+    auto check_digest(const list_update& update, const http::endpoint& from) -> void;
+    auto query(const http::endpoint& neighbour, std::optional<std::uint64_t> since) -> void;
     auto on_answer(const http::endpoint& from, const common::result<std::string>& body) -> void;
     auto reject(const std::string& from, const common::error& why) -> void;
 
@@ -86,12 +88,12 @@
     common::host_id self;
     http::endpoint own_address;
     list_broadcaster_hooks hooks;
-    std::string told_by;
-    /// No other question before this, unless the last one is answered.
-    time_point ask_again_at{};
-    /// Since when the list differs from the neighbours' at the same position.
+    std::string source_host;
+    /// Time of the next permitted query, unless the last one is answered earlier.
+    time_point next_query_at{};
+    /// Since when the list has differed from a neighbour's at the same position.
     std::optional<time_point> differs_since;
-    time_point next_rejection_logged{};
+    time_point next_rejection_log_at{};
 };
 
 } // namespace reedramp::router
--- a/source/core/router/list_update.cpp
+++ b/source/core/router/list_update.cpp
@@ -17,22 +17,21 @@
 
 namespace {
 
-/// Stands before the message in a datagram. Read as any other message of a peer, it names more
-/// segments than there can be, so that earlier releases drop it.
-constexpr std::string_view mark{"\xff\xff\xff\xffLST1", 8};
+/// Prefix of the datagram. Earlier releases read it as the segment count of a peer report, find it
+/// too large, and drop the datagram.
+constexpr std::string_view datagram_prefix{"\xff\xff\xff\xffLST1", 8};
 
-/// A datagram that crosses the network in one piece, less its headers.
-constexpr std::size_t largest_datagram = 1400;
+/// Size of a datagram that fits into one network packet, without its headers.
+constexpr std::size_t max_datagram_bytes = 1400;
 
-/// Ten times the 620 servers that the design is for, at 200 bytes each.
-constexpr std::size_t largest_answer = 1'200'000;
+/// Allows for ten times the 620 servers of the design, at 200 bytes each.
+constexpr std::size_t max_response_bytes = 1'200'000;
 
-/// Words of Cap'n Proto that a message may make the reader visit; packing shortens to an eighth at
-/// best.
-constexpr std::uint64_t traversal_words = 8UL * largest_answer / sizeof(capnp::word);
+/// Traversal limit in Cap'n Proto words. Packing shrinks a message to an eighth at best.
+constexpr std::uint64_t traversal_words = 8UL * max_response_bytes / sizeof(capnp::word);
 
-/// A service that comes with more than this is none of ours, and no message may fill the memory.
-constexpr std::size_t most_changes = 6200;
+/// Larger updates are rejected to bound memory; no deployment has as many servers.
+constexpr std::size_t max_changes = 6200;
 
 auto fill(schema::ServerChange::Builder to, const routing::registration_change& from) -> void
 {
@@ -49,7 +48,7 @@
     to.setVersion(now.version.value());
     to.setSlots(now.slots);
     to.setIsLeaving(now.is_leaving);
-    to.setColdMs(told_ms(now.cold_for));
+    to.setColdMs(milliseconds_field(now.cold_for));
     to.setBornMs(now.born.value());
 }
 
@@ -81,8 +80,8 @@
     to.setAddress(from.address);
     to.setDataCentre(from.data_centre.value());
     to.setListChanged(from.freshness.changed);
-    to.setListAgeMs(told_ms(from.freshness.age));
-    to.setStoreSteadyMs(told_ms(from.freshness.steady));
+    to.setListAgeMs(milliseconds_field(from.freshness.age));
+    to.setStoreSteadyMs(milliseconds_field(from.freshness.steady));
     to.setListReader(from.freshness.reader);
     to.setListReading(from.freshness.number);
     to.setRulesVersion(from.rules_version);
@@ -96,93 +95,97 @@
     }
 }
 
-auto read_news(schema::ListNews::Reader from) -> list_update
+auto read_update(schema::ListNews::Reader from) -> list_update
 {
-    list_update news;
-    news.host = common::host_id{text_of(from.getHost())};
-    news.address = text_of(from.getAddress());
-    news.data_centre = common::data_centre_id{text_of(from.getDataCentre())};
-    news.freshness = {
+    list_update update;
+    update.host = common::host_id{text_of(from.getHost())};
+    update.address = text_of(from.getAddress());
+    update.data_centre = common::data_centre_id{text_of(from.getDataCentre())};
+    update.freshness = {
         from.getListChanged(),
         std::chrono::milliseconds{from.getListAgeMs()},
         std::chrono::milliseconds{from.getStoreSteadyMs()},
         from.getListReader(),
         from.getListReading()};
-    news.rules_version = from.getRulesVersion();
-    news.digest = from.getDigest();
+    update.rules_version = from.getRulesVersion();
+    update.digest = from.getDigest();
     if (!from.getIsWhole()) {
-        news.part.from = from.getFrom();
+        update.part.from = from.getFrom();
     }
-    news.part.end = from.getEnd();
+    update.part.end = from.getEnd();
     for (const auto change : from.getChanges()) {
-        news.part.changes.push_back(read_change(change));
+        update.part.changes.push_back(read_change(change));
     }
-    return news;
+    return update;
 }
 
-/// Whether an entry could have sent this. What is out of order in itself changes nothing here.
-auto is_sound(const list_update& news) -> bool
+/// Whether the update is consistent. An inconsistent one is not from an entry and is rejected.
+auto is_valid(const list_update& update) -> bool
 {
-    const bool goes_forward = !news.part.from || *news.part.from <= news.part.end;
+    const bool goes_forward = !update.part.from || *update.part.from <= update.part.end;
     const bool names_all =
-        std::ranges::none_of(news.part.changes, [](const routing::registration_change& change) {
+        std::ranges::none_of(update.part.changes, [](const routing::registration_change& change) {
             return change.id.value().empty() || (change.now && change.now->address.empty());
         });
-    return goes_forward && names_all && news.freshness.changed <= news.part.end &&
-           news.part.changes.size() <= most_changes;
+    return goes_forward && names_all && update.freshness.changed <= update.part.end &&
+           update.part.changes.size() <= max_changes;
 }
 
-auto no_news() -> tl::unexpected<common::error>
+auto invalid_update() -> tl::unexpected<common::error>
 {
-    return common::failure(common::result_code::malformed_request, "no news of the list");
+    return common::failure(
+        common::result_code::malformed_request, "not a valid server list update");
 }
 
-auto encode_flat(const list_update& news) -> std::string
+auto encode_flat(const list_update& update) -> std::string
 {
     capnp::MallocMessageBuilder message;
-    fill(message.initRoot<schema::ListNews>(), news);
-    return flat_bytes(message);
+    fill(message.initRoot<schema::ListNews>(), update);
+    return serialise_flat(message);
 }
 
 } // namespace
 
-auto encode_datagram(const list_update& news) -> std::string
+auto encode_datagram(const list_update& update) -> std::string
 {
-    auto bytes = std::string{mark} + encode_flat(news);
-    if (bytes.size() <= largest_datagram) {
+    auto bytes = std::string{datagram_prefix} + encode_flat(update);
+    if (bytes.size() <= max_datagram_bytes) {
         return bytes;
     }
-    // From its end to its end: whoever stands before that sees a gap.
-    auto without = news;
-    without.part = {news.part.end, news.part.end, {}};
-    return std::string{mark} + encode_flat(without);
+    // An empty part at the end position: a receiver that is behind it sees a gap and asks.
+    auto without = update;
+    without.part = {update.part.end, update.part.end, {}};
+    return std::string{datagram_prefix} + encode_flat(without);
 }
 
 auto is_list_update(std::string_view datagram) -> bool
 {
-    return datagram.starts_with(mark);
+    return datagram.starts_with(datagram_prefix);
 }
 
 auto decode_datagram(std::string_view bytes) -> common::result<list_update>
 {
-    const bool is_whole = bytes.size() > mark.size() && bytes.size() % sizeof(capnp::word) == 0;
+    const bool is_whole =
+        bytes.size() > datagram_prefix.size() && bytes.size() % sizeof(capnp::word) == 0;
     if (!is_list_update(bytes) || !is_whole) {
-        return no_news();
+        return invalid_update();
     }
-    bytes.remove_prefix(mark.size());
-    list_update news;
+    bytes.remove_prefix(datagram_prefix.size());
+    list_update update;
     const bool is_read = read_flat<schema::ListNews>(
-        bytes, traversal_words, [&news](schema::ListNews::Reader root) { news = read_news(root); });
-    if (!is_read || !is_sound(news)) {
-        return no_news();
+        bytes, traversal_words, [&update](schema::ListNews::Reader root) {
+            update = read_update(root);
+        });
+    if (!is_read || !is_valid(update)) {
+        return invalid_update();
     }
-    return news;
+    return update;
 }
 
-auto encode_answer(const list_update& news) -> std::string
+auto encode_answer(const list_update& update) -> std::string
 {
     capnp::MallocMessageBuilder message;
-    fill(message.initRoot<schema::ListNews>(), news);
+    fill(message.initRoot<schema::ListNews>(), update);
     kj::VectorOutputStream out;
     capnp::writePackedMessage(out, message);
     const auto bytes = out.getArray();
@@ -191,22 +194,22 @@
 
 auto decode_answer(std::string_view bytes) -> common::result<list_update>
 {
-    if (bytes.size() > largest_answer) {
-        return no_news();
+    if (bytes.size() > max_response_bytes) {
+        return invalid_update();
     }
-    std::optional<list_update> news;
-    const auto problem = kj::runCatchingExceptions([bytes, &news] {
+    std::optional<list_update> update;
+    const auto problem = kj::runCatchingExceptions([bytes, &update] {
         capnp::ReaderOptions limits;
         limits.traversalLimitInWords = traversal_words;
         kj::ArrayInputStream in(
             kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
         capnp::PackedMessageReader reader(in, limits);
-        news = read_news(reader.getRoot<schema::ListNews>());
+        update = read_update(reader.getRoot<schema::ListNews>());
     });
-    if (problem != nullptr || !news || !is_sound(*news)) {
-        return no_news();
+    if (problem != nullptr || !update || !is_valid(*update)) {
+        return invalid_update();
     }
-    return std::move(*news);
+    return std::move(*update);
 }
 
 } // namespace reedramp::router
--- a/source/core/router/message_bytes.cpp
+++ b/source/core/router/message_bytes.cpp
@@ -13,20 +13,20 @@
     return {text.cStr(), text.size()};
 }
 
-auto told_ms(std::chrono::milliseconds time) -> std::uint32_t
+auto milliseconds_field(std::chrono::milliseconds time) -> std::uint32_t
 {
     return static_cast<std::uint32_t>(
         std::clamp<std::int64_t>(time.count(), 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
-auto flat_bytes(capnp::MessageBuilder& message) -> std::string
+auto serialise_flat(capnp::MessageBuilder& message) -> std::string
 {
     const auto flat = capnp::messageToFlatArray(message);
     const auto bytes = flat.asBytes();
     return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-auto aligned_words(std::string_view bytes) -> std::vector<capnp::word>
+auto copy_aligned(std::string_view bytes) -> std::vector<capnp::word>
 {
     std::vector<capnp::word> aligned(bytes.size() / sizeof(capnp::word));
     if (!aligned.empty()) {
--- a/source/core/router/message_bytes.hpp
+++ b/source/core/router/message_bytes.hpp
@@ -11,29 +11,30 @@
 #include <capnp/serialize.h>
 #include <kj/exception.h>
 
-/// What the codecs of entries' messages share.
+/// Helpers shared by the codecs of messages between entries.
 namespace reedramp::router {
 
-/// Words of Cap'n Proto that a datagram may make the reader visit; it has 8,192.
-inline constexpr std::uint64_t datagram_words = 64UL * 1024UL;
+/// Traversal limit for reading a datagram, in Cap'n Proto words. A datagram itself holds 8,192.
+inline constexpr std::uint64_t datagram_traversal_limit = 64UL * 1024UL;
 
 auto text_of(capnp::Text::Reader text) -> std::string;
 
-/// A time as messages hold it: whole milliseconds, none below 0, some weeks at the most.
-auto told_ms(std::chrono::milliseconds time) -> std::uint32_t;
+/// Converts a duration to the whole milliseconds of a message field, clamped to 0 and to the
+/// field's maximum of some weeks.
+auto milliseconds_field(std::chrono::milliseconds time) -> std::uint32_t;
 
-/// The message without packing.
-auto flat_bytes(capnp::MessageBuilder& message) -> std::string;
+/// Serialises the message in Cap'n Proto's unpacked format.
+auto serialise_flat(capnp::MessageBuilder& message) -> std::string;
 
-/// The whole words of `bytes`, with the alignment that a socket's buffer does not have.
-auto aligned_words(std::string_view bytes) -> std::vector<capnp::word>;
+/// Copies the whole words of `bytes` into aligned memory. A socket buffer has no such alignment.
+auto copy_aligned(std::string_view bytes) -> std::vector<capnp::word>;
 
-/// Calls `read` with the root of a message without packing. False for bytes that are no such
-/// message, or that make the reader visit more than `most_words`.
+/// Calls `read` with the root of an unpacked message. Returns false if `bytes` is not a valid
+/// message, or if reading it exceeds the traversal limit of `most_words`.
 template <typename Schema, typename Read>
 auto read_flat(std::string_view bytes, std::uint64_t most_words, Read read) -> bool
 {
-    const auto aligned = aligned_words(bytes);
+    const auto aligned = copy_aligned(bytes);
     if (aligned.empty()) {
         return false;
     }
--- a/source/core/router/peer_message.cpp
+++ b/source/core/router/peer_message.cpp
@@ -18,12 +18,13 @@
 
 namespace {
 
-/// Pairs of mean and count, signals before timed parts.
-constexpr unsigned pair_size = 2;
-constexpr unsigned told_means =
-    pair_size * static_cast<unsigned>(policy::signal_count + routing::timed_part_count);
+/// Means are sent as pairs of mean and count: first those of the signals, then those of the timed
+/// parts.
+constexpr unsigned values_per_mean = 2;
+constexpr unsigned mean_field_count =
+    values_per_mean * static_cast<unsigned>(policy::signal_count + routing::timed_part_count);
 
-auto fill_means(capnp::List<float>::Builder to, const routing::evidence_report& from) -> void
+auto fill_mean_fields(capnp::List<float>::Builder to, const routing::evidence_report& from) -> void
 {
     unsigned at = 0;
     const auto add = [&to, &at](const policy::known_mean& mean) {
@@ -34,15 +35,15 @@
     std::ranges::for_each(from.usual_times, add);
 }
 
-auto read_means(capnp::List<float>::Reader from, routing::evidence_report& to) -> void
+auto read_mean_fields(capnp::List<float>::Reader from, routing::evidence_report& to) -> void
 {
     unsigned at = 0;
     const auto next = [&from, &at](policy::known_mean& mean) {
         const double value = from[at++];
         const double count = from[at++];
         // What is no number would stay in every sum.
-        const bool is_sound = std::isfinite(value) && std::isfinite(count) && count >= 0.0;
-        mean = is_sound ? policy::known_mean{value, count} : policy::known_mean{};
+        const bool is_valid = std::isfinite(value) && std::isfinite(count) && count >= 0.0;
+        mean = is_valid ? policy::known_mean{value, count} : policy::known_mean{};
     };
     std::ranges::for_each(to.old_means, next);
     std::ranges::for_each(to.usual_times, next);
@@ -50,16 +51,18 @@
 
 auto read_evidence(schema::RouteEvidence::Reader from) -> std::optional<routing::evidence_report>
 {
-    routing::evidence_report told;
+    routing::evidence_report report;
     for (const double log : from.getWealth()) {
-        told.bets.push_back(std::isfinite(log) ? log : 0.0);
+        report.bets.push_back(std::isfinite(log) ? log : 0.0);
     }
-    // Sums need blocks of one size; another one comes from a peer of another release.
-    if (told.bets.size() != policy::wealth_size || from.getOldMeans().size() != told_means) {
+    // Evidence is summed block by block, which needs equal sizes. A different size comes from a
+    // peer of another release.
+    if (report.bets.size() != policy::wealth_size ||
+        from.getOldMeans().size() != mean_field_count) {
         return std::nullopt;
     }
-    read_means(from.getOldMeans(), told);
-    return told;
+    read_mean_fields(from.getOldMeans(), report);
+    return report;
 }
 
 auto fill(schema::Rollout::Builder to, const routing::rollout_report& from) -> void
@@ -71,14 +74,14 @@
     to.setLeftOnOld(from.left_on_old);
     auto all = to.initEvidence(static_cast<unsigned>(from.evidence.size()));
     unsigned at = 0;
-    for (const auto& [route, told] : from.evidence) {
+    for (const auto& [route, report] : from.evidence) {
         auto one = all[at++];
         one.setRoute(route.value());
-        auto logs = one.initWealth(static_cast<unsigned>(told.bets.size()));
-        for (unsigned i = 0; i < told.bets.size(); ++i) {
-            logs.set(i, static_cast<float>(told.bets[i]));
+        auto logs = one.initWealth(static_cast<unsigned>(report.bets.size()));
+        for (unsigned i = 0; i < report.bets.size(); ++i) {
+            logs.set(i, static_cast<float>(report.bets[i]));
         }
-        fill_means(one.initOldMeans(told_means), told);
+        fill_mean_fields(one.initOldMeans(mean_field_count), report);
     }
     to.setShare(from.share);
     to.setFirstShare(from.first_share);
@@ -92,8 +95,9 @@
     }
 }
 
-/// A number that this release does not know is taken for a roll-out that goes on.
-auto state_of(std::uint8_t number) -> routing::rollout_state
+/// Converts a state from its number in the message. A number unknown to this release counts as a
+/// running roll-out.
+auto to_rollout_state(std::uint8_t number) -> routing::rollout_state
 {
     const auto state = static_cast<routing::rollout_state>(number);
     const bool is_known =
@@ -103,35 +107,36 @@
 
 auto read_rollout(schema::Rollout::Reader from) -> routing::rollout_report
 {
-    routing::rollout_report told;
-    told.service = common::service_name{text_of(from.getService())};
-    told.target = common::version_id{text_of(from.getTarget())};
-    told.allowed = std::chrono::milliseconds{from.getAllowedMs()};
-    told.elapsed = std::chrono::milliseconds{from.getElapsedMs()};
-    told.left_on_old = from.getLeftOnOld();
-    told.state = state_of(from.getState());
-    told.is_written = from.getIsWritten();
+    routing::rollout_report report;
+    report.service = common::service_name{text_of(from.getService())};
+    report.target = common::version_id{text_of(from.getTarget())};
+    report.allowed = std::chrono::milliseconds{from.getAllowedMs()};
+    report.elapsed = std::chrono::milliseconds{from.getElapsedMs()};
+    report.left_on_old = from.getLeftOnOld();
+    report.state = to_rollout_state(from.getState());
+    report.is_written = from.getIsWritten();
     const double share = from.getShare();
-    told.share = std::isfinite(share) ? std::clamp(share, 0.0, 1.0) : 0.0;
+    report.share = std::isfinite(share) ? std::clamp(share, 0.0, 1.0) : 0.0;
     const double first_share = from.getFirstShare();
-    told.first_share = std::isfinite(first_share) ? std::clamp(first_share, 0.0, 1.0) : 0.0;
+    report.first_share = std::isfinite(first_share) ? std::clamp(first_share, 0.0, 1.0) : 0.0;
     const double rate = from.getRate();
-    told.rate = std::isfinite(rate) ? std::max(rate, 0.0) : 0.0;
+    report.rate = std::isfinite(rate) ? std::max(rate, 0.0) : 0.0;
     for (const auto one : from.getEvidence()) {
         if (auto evidence = read_evidence(one)) {
-            told.evidence[routing::route_name{text_of(one.getRoute())}] = std::move(*evidence);
+            report.evidence[routing::route_name{text_of(one.getRoute())}] = std::move(*evidence);
         }
     }
     for (const auto one : from.getOldSessions()) {
-        told.old_sessions.push_back({one.getSession(), std::chrono::milliseconds{one.getLeftMs()}});
+        report.old_sessions.push_back(
+            {one.getSession(), std::chrono::milliseconds{one.getLeftMs()}});
     }
-    return told;
+    return report;
 }
 
 constexpr unsigned port_bits = 16;
 
-/// None for an address that is not of IPv4.
-auto number_of(const std::string& address) -> std::optional<std::uint64_t>
+/// Packs an IPv4 address and port into one number. Returns nothing for any other address.
+auto pack_ipv4(const std::string& address) -> std::optional<std::uint64_t>
 {
     const auto where = http::parse_endpoint(address);
     if (!where) {
@@ -145,7 +150,7 @@
     return (std::uint64_t{host.to_uint()} << port_bits) | where->port;
 }
 
-auto address_of(std::uint64_t number) -> std::string
+auto unpack_ipv4(std::uint64_t number) -> std::string
 {
     const boost::asio::ip::address_v4 host{static_cast<std::uint32_t>(number >> port_bits)};
     return http::to_string(http::endpoint{host.to_string(), static_cast<std::uint16_t>(number)});
@@ -156,7 +161,7 @@
     std::vector<std::uint64_t> numbers;
     std::vector<std::string> texts;
     for (const auto& address : from) {
-        if (const auto number = number_of(address)) {
+        if (const auto number = pack_ipv4(address)) {
             numbers.push_back(*number);
         }
         else {
@@ -173,7 +178,7 @@
     }
 }
 
-/// Stands for a server that takes any number of requests.
+/// Value in a message for a server without a limit.
 constexpr float no_limit = -1.0F;
 
 auto fill_limits(schema::Words::Builder to, const std::vector<routing::limit_report>& from) -> void
@@ -183,7 +188,7 @@
         const auto& one = from[i];
         limits[i].setServer(one.server);
         limits[i].setPerSecond(one.per_second ? static_cast<float>(*one.per_second) : no_limit);
-        limits[i].setAgeMs(told_ms(one.age));
+        limits[i].setAgeMs(milliseconds_field(one.age));
     }
 }
 
@@ -202,24 +207,24 @@
     return limits;
 }
 
-auto read_words(schema::Words::Reader from) -> peer_report
+auto read_report(schema::Words::Reader from) -> peer_report
 {
-    peer_report words;
-    words.host = common::host_id{text_of(from.getHost())};
-    words.process = from.getProcess();
-    words.address = text_of(from.getAddress());
-    words.place = from.getDataCentre();
-    words.rules_version = from.getRulesVersion();
+    peer_report report;
+    report.host = common::host_id{text_of(from.getHost())};
+    report.process = from.getProcess();
+    report.address = text_of(from.getAddress());
+    report.data_centre = from.getDataCentre();
+    report.rules_version = from.getRulesVersion();
     for (const auto load : from.getLoads()) {
-        const bool is_sound = std::isfinite(load.getRequests()) && std::isfinite(load.getWork()) &&
+        const bool is_valid = std::isfinite(load.getRequests()) && std::isfinite(load.getWork()) &&
                               std::isfinite(load.getReading());
         // What is no number would stay in every sum.
-        if (is_sound) {
-            words.loads.push_back(
+        if (is_valid) {
+            report.loads.push_back(
                 {load.getServer(), {load.getRequests(), load.getWork(), load.getReading()}});
         }
     }
-    words.freshness = {
+    report.freshness = {
         from.getListChanged(),
         std::chrono::milliseconds{from.getListAgeMs()},
         std::chrono::milliseconds{from.getStoreSteadyMs()},
@@ -229,33 +234,33 @@
         const double good = outcomes.getGood();
         const double bad = outcomes.getBad();
         if (std::isfinite(good) && std::isfinite(bad)) {
-            words.outcomes.push_back({outcomes.getServer(), good, bad});
+            report.outcomes.push_back({outcomes.getServer(), good, bad});
         }
     }
     for (const auto rollout : from.getRollouts()) {
-        words.rollouts.push_back(read_rollout(rollout));
+        report.rollouts.push_back(read_rollout(rollout));
     }
     for (const auto number : from.getPeersIpv4()) {
-        words.peers.push_back(address_of(number));
+        report.peers.push_back(unpack_ipv4(number));
     }
     for (const auto peer : from.getPeers()) {
-        words.peers.push_back(text_of(peer));
+        report.peers.push_back(text_of(peer));
     }
     for (const auto server : from.getLeaving()) {
-        words.leaving.push_back(server);
+        report.leaving.push_back(server);
     }
     for (const auto end : from.getEnded()) {
-        words.ended.push_back({end.getServer(), end.getReadTo()});
+        report.ended.push_back({end.getServer(), end.getReadTo()});
     }
-    words.evacuations.known_to = stream_position{from.getOrdersKnownTo()};
+    report.evacuations.known_to = stream_position{from.getOrdersKnownTo()};
     for (const auto data_centre : from.getEvacuated()) {
-        words.evacuations.evacuated.emplace_back(text_of(data_centre));
+        report.evacuations.evacuated.emplace_back(text_of(data_centre));
     }
-    words.limits = read_limits(from);
+    report.limits = read_limits(from);
     if (from.getEndsInMs() > 0) {
-        words.ends_in = std::chrono::milliseconds{from.getEndsInMs()};
+        report.ends_in = std::chrono::milliseconds{from.getEndsInMs()};
     }
-    return words;
+    return report;
 }
 
 } // namespace
@@ -265,70 +270,72 @@
     return static_cast<std::uint32_t>(placement::affinity_hash(data_centre.value()));
 }
 
-auto encode(const peer_report& words) -> std::string
+auto encode(const peer_report& report) -> std::string
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::Words>();
-    root.setHost(words.host.value());
-    root.setProcess(words.process);
-    root.setAddress(words.address);
-    root.setDataCentre(words.place);
-    root.setRulesVersion(words.rules_version);
-    auto loads = root.initLoads(static_cast<unsigned>(words.loads.size()));
-    for (unsigned i = 0; i < words.loads.size(); ++i) {
-        loads[i].setServer(words.loads[i].server);
-        loads[i].setRequests(static_cast<float>(words.loads[i].load.requests));
-        loads[i].setWork(static_cast<float>(words.loads[i].load.work));
-        loads[i].setReading(static_cast<float>(words.loads[i].load.reading));
+    root.setHost(report.host.value());
+    root.setProcess(report.process);
+    root.setAddress(report.address);
+    root.setDataCentre(report.data_centre);
+    root.setRulesVersion(report.rules_version);
+    auto loads = root.initLoads(static_cast<unsigned>(report.loads.size()));
+    for (unsigned i = 0; i < report.loads.size(); ++i) {
+        loads[i].setServer(report.loads[i].server);
+        loads[i].setRequests(static_cast<float>(report.loads[i].load.requests));
+        loads[i].setWork(static_cast<float>(report.loads[i].load.work));
+        loads[i].setReading(static_cast<float>(report.loads[i].load.reading));
     }
-    root.setListChanged(words.freshness.changed);
-    root.setListAgeMs(told_ms(words.freshness.age));
-    root.setStoreSteadyMs(told_ms(words.freshness.steady));
-    root.setListReader(words.freshness.reader);
-    root.setListReading(words.freshness.number);
-    auto outcomes = root.initOutcomes(static_cast<unsigned>(words.outcomes.size()));
-    for (unsigned i = 0; i < words.outcomes.size(); ++i) {
-        outcomes[i].setServer(words.outcomes[i].server);
-        outcomes[i].setGood(static_cast<float>(words.outcomes[i].good));
-        outcomes[i].setBad(static_cast<float>(words.outcomes[i].bad));
+    root.setListChanged(report.freshness.changed);
+    root.setListAgeMs(milliseconds_field(report.freshness.age));
+    root.setStoreSteadyMs(milliseconds_field(report.freshness.steady));
+    root.setListReader(report.freshness.reader);
+    root.setListReading(report.freshness.number);
+    auto outcomes = root.initOutcomes(static_cast<unsigned>(report.outcomes.size()));
+    for (unsigned i = 0; i < report.outcomes.size(); ++i) {
+        outcomes[i].setServer(report.outcomes[i].server);
+        outcomes[i].setGood(static_cast<float>(report.outcomes[i].good));
+        outcomes[i].setBad(static_cast<float>(report.outcomes[i].bad));
     }
-    auto rollouts = root.initRollouts(static_cast<unsigned>(words.rollouts.size()));
-    for (unsigned i = 0; i < words.rollouts.size(); ++i) {
-        fill(rollouts[i], words.rollouts[i]);
+    auto rollouts = root.initRollouts(static_cast<unsigned>(report.rollouts.size()));
+    for (unsigned i = 0; i < report.rollouts.size(); ++i) {
+        fill(rollouts[i], report.rollouts[i]);
     }
-    fill_peers(root, words.peers);
-    auto leaving = root.initLeaving(static_cast<unsigned>(words.leaving.size()));
-    for (unsigned i = 0; i < words.leaving.size(); ++i) {
-        leaving.set(i, words.leaving[i]);
+    fill_peers(root, report.peers);
+    auto leaving = root.initLeaving(static_cast<unsigned>(report.leaving.size()));
+    for (unsigned i = 0; i < report.leaving.size(); ++i) {
+        leaving.set(i, report.leaving[i]);
     }
-    auto ended = root.initEnded(static_cast<unsigned>(words.ended.size()));
-    for (unsigned i = 0; i < words.ended.size(); ++i) {
-        ended[i].setServer(words.ended[i].server);
-        ended[i].setReadTo(words.ended[i].read_to);
+    auto ended = root.initEnded(static_cast<unsigned>(report.ended.size()));
+    for (unsigned i = 0; i < report.ended.size(); ++i) {
+        ended[i].setServer(report.ended[i].server);
+        ended[i].setReadTo(report.ended[i].read_to);
     }
-    root.setOrdersKnownTo(words.evacuations.known_to.value());
-    auto evacuated = root.initEvacuated(static_cast<unsigned>(words.evacuations.evacuated.size()));
-    for (unsigned i = 0; i < words.evacuations.evacuated.size(); ++i) {
-        evacuated.set(i, words.evacuations.evacuated[i].value());
+    root.setOrdersKnownTo(report.evacuations.known_to.value());
+    auto evacuated = root.initEvacuated(static_cast<unsigned>(report.evacuations.evacuated.size()));
+    for (unsigned i = 0; i < report.evacuations.evacuated.size(); ++i) {
+        evacuated.set(i, report.evacuations.evacuated[i].value());
     }
-    fill_limits(root, words.limits);
-    if (words.ends_in) {
-        // At least 1: 0 says that the sender stays.
-        const auto left = std::max<std::int64_t>(words.ends_in->count(), 1);
+    fill_limits(root, report.limits);
+    if (report.ends_in) {
+        // At least 1, since 0 means that the sender stays.
+        const auto left = std::max<std::int64_t>(report.ends_in->count(), 1);
         root.setEndsInMs(static_cast<std::uint32_t>(left));
     }
-    return flat_bytes(message);
+    return serialise_flat(message);
 }
 
 auto decode_peer_words(std::string_view bytes) -> common::result<peer_report>
 {
-    peer_report words;
+    peer_report report;
     const bool is_read = read_flat<schema::Words>(
-        bytes, datagram_words, [&words](schema::Words::Reader root) { words = read_words(root); });
+        bytes, datagram_traversal_limit, [&report](schema::Words::Reader root) {
+            report = read_report(root);
+        });
     if (!is_read) {
         return common::failure(common::result_code::malformed_request, "no message of a peer");
     }
-    return words;
+    return report;
 }
 
 } // namespace reedramp::router
--- a/source/core/router/peer_message.hpp
+++ b/source/core/router/peer_message.hpp
@@ -17,44 +17,45 @@
 
 namespace reedramp::router {
 
-/// What an entry tells its peers some times a second, in one datagram. A lost one is made good by
-/// the next: each holds the present state, no change.
+/// State that an entry sends to its peers in one datagram, several times a second. Each report
+/// holds the complete present state and no changes, so the next one makes up for a lost one.
 struct peer_report {
     common::host_id host;
-    /// Random, another one for each process of the host.
+    /// Random id, different for each process of the host.
     std::uint64_t process = 0;
-    /// "IP:port" on which the sender hears its peers and gives its rules out.
+    /// "IP:port" where the sender receives its peers' messages and serves its rules.
     std::string address;
-    /// `data_centre_hash` the sender's data centre; 0 from earlier releases.
-    std::uint32_t place = 0;
-    /// 0 without rules.
+    /// `data_centre_hash` of the sender's data centre; 0 from earlier releases.
+    std::uint32_t data_centre = 0;
+    /// 0 if the sender has no rules.
     std::uint64_t rules_version = 0;
     std::vector<routing::load_report> loads;
     std::vector<routing::rollout_report> rollouts;
-    /// Of the servers' list.
+    /// How current the sender's server list is.
     routing::freshness_report freshness{0, std::chrono::hours{1}};
-    /// Addresses of the peers that the sender hears, so that one known address is enough to find
-    /// all.
+    /// Addresses of some of the sender's live peers, so that an entry finds all others from a
+    /// single known address.
     std::vector<std::string> peers;
-    /// Of servers that have failed lately at the sender.
+    /// Outcomes at servers that have recently failed requests of the sender.
     std::vector<routing::outcome_report> outcomes;
-    /// Hashes of the starts of servers that have lately said that they leave.
+    /// Hashes of the server instances that have recently announced that they leave.
     std::vector<std::uint64_t> leaving;
-    /// Registrations that have lately ended, perhaps without a word that the server leaves.
+    /// Registrations that have recently ended, possibly without the server having announced that it
+    /// leaves.
     std::vector<routing::ended_report> ended;
     routing::evacuation_report evacuations;
-    /// What servers have named in answers that the sender got.
+    /// Rate limits that servers stated in responses to the sender.
     std::vector<routing::limit_report> limits;
-    /// Until the sender's process ends at the latest; none while it stays.
+    /// Time until the sender's process ends at the latest; none if it stays.
     std::optional<std::chrono::milliseconds> ends_in;
 };
 
-/// A data centre as entries name it to each other: a hash, as only equality counts.
+/// Hash by which entries identify a data centre in messages. Only equality matters.
 auto data_centre_hash(const common::data_centre_id& data_centre) -> std::uint32_t;
 
-auto encode(const peer_report& words) -> std::string;
+auto encode(const peer_report& report) -> std::string;
 
-/// Error `malformed_request` for bytes that are no such message.
+/// Error `malformed_request` if `bytes` is not a valid report.
 auto decode_peer_words(std::string_view bytes) -> common::result<peer_report>;
 
 } // namespace reedramp::router
--- a/source/core/router/peers.capnp
+++ b/source/core/router/peers.capnp
@@ -1,6 +1,6 @@
 @0xb2a8d1c35f7e4096;
-# What entries tell each other, one message a datagram. codec in peer_message.cpp. Fields are only
-# ever added, at the end. After a change run tools/generate_wire, and commit what it makes.
+# Messages between entries, one per datagram. The codec is in peer_message.cpp. Fields are only ever
+# added, at the end. After a change run tools/generate_wire and commit the generated files.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("reedramp::router::schema");
@@ -12,21 +12,21 @@
   reading @3 :Float32;
 }
 
-# What a server that failed has answered at the sender lately.
+# Recent outcomes at the sender of a server that has failed.
 struct Outcomes {
   server @0 :UInt64;
   good @1 :Float32;
   bad @2 :Float32;
 }
 
-# The end of a registration, read at a position of the list's stream up to readTo.
+# A registration that has ended, as read in the list's stream up to position readTo.
 struct EndedServer {
   server @0 :UInt64;
   readTo @1 :UInt64;
 }
 
-# What a server named in an answer that the sender got: requests a second from all entries together;
-# less than 0 where it takes any number.
+# The limit that a server stated in a response to the sender: requests per second from all entries
+# together; less than 0 if unlimited.
 struct Limit {
   server @0 :UInt64;
   perSecond @1 :Float32;
@@ -36,11 +36,11 @@
 struct RouteEvidence {
   route @0 :Text;
   wealth @1 :List(Float32);
-  # Of the old version, as pairs of mean and count: by signal, then usual times by timed part.
+  # Means of the old version, as pairs of mean and count: by signal, then usual times by timed part.
   oldMeans @2 :List(Float32);
 }
 
-# A session that the sender keeps on an old version, for so long if nothing more comes of it.
+# A session that the sender keeps on an old version, and for how long if it gets no more requests.
 struct OldSession {
   session @0 :UInt64;
   leftMs @1 :UInt32;
@@ -54,13 +54,13 @@
   leftOnOld @4 :UInt32;
   evidence @5 :List(RouteEvidence);
   oldSessions @6 :List(OldSession);
-  # As rollout_state counts them: 0 running, 1 complete, 2 reverted.
+  # Numbers of rollout_state: 0 running, 1 complete, 2 reverted.
   state @7 :UInt8;
   isWritten @8 :Bool;
   share @9 :Float64;
-  # Of the first half, once it has begun.
+  # Share of the first half, once it has begun.
   firstShare @10 :Float64;
-  # Requests a second for the service at the sender.
+  # Requests per second for the service at the sender.
   rate @11 :Float32;
 }
 
@@ -72,44 +72,45 @@
   rollouts @4 :List(Rollout);
   peers @5 :List(Text);
   leaving @6 :List(UInt64);
-  # Until the sender's process ends; 0 while it stays.
+  # Time until the sender's process ends; 0 while it stays.
   endsInMs @7 :UInt32;
   outcomes @8 :List(Outcomes);
-  # Of the servers' list: where its last change ends, and how long ago that was known.
+  # Position of the last change of the server list, and how long ago the list was known to be
+  # current.
   listChanged @9 :UInt64;
   listAgeMs @10 :UInt32 = 3600000;
-  # How long the store had answered by then, to any entry, without a gap.
+  # How long the store had responded without a gap by then, to any entry.
   storeSteadyMs @11 :UInt32;
-  # Which reading that was: the reader's process, and its how-manieth.
+  # Identifies that reading: the reader's process, and in listReading its number.
   listReader @12 :UInt64;
-  # Of the last seconds.
+  # Registrations that ended in the last seconds.
   ended @13 :List(EndedServer);
-  # Random, another one for each process of a host; 0 from earlier releases.
+  # Random, different for each process of a host; 0 from earlier releases.
   process @14 :UInt64;
   listReading @15 :UInt64;
-  # Hash of the sender's data centre; 0 from earlier releases. Its name would be 16 bytes more, ten
-  # thousand times a second over all entries.
+  # Hash of the sender's data centre; 0 from earlier releases. Its name would take 16 bytes more,
+  # ten thousand times a second over all entries.
   dataCentre @16 :UInt32;
-  # Data centres that are evacuated, by the operators' stream up to ordersKnownTo; 0 if that is not
-  # known.
+  # Evacuated data centres according to the operators' stream up to ordersKnownTo; 0 if unknown.
   evacuated @17 :List(Text);
   ordersKnownTo @18 :UInt64;
-  # Those of `peers` whose address is of IPv4, and which are left out there: the address in 32 bits,
-  # then the port in 16. As texts they would be half of each message.
+  # Peers with IPv4 addresses, which `peers` leaves out: the address in 32 bits, then the port in
+  # 16. As texts they would take half of each message.
   peersIpv4 @19 :List(UInt64);
   limits @20 :List(Limit);
 }
 
-# A request that ends the servers which run it: since it was barred, and since it came last.
+# A barred request, which crashes the servers that run it, with the time since it was barred and
+# since it was last received.
 struct BarredRequest {
   print @0 :UInt64;
   ageMs @1 :UInt32;
   unseenMs @2 :UInt32;
-  # The store has it.
+  # The store has a record of it.
   isRecorded @3 :Bool;
 }
 
-# A request that was lost with its server; of print 0, a server that refuses connections.
+# A request that was lost with its server. Print 0 stands for a server that refuses connections.
 struct LostRequest {
   print @0 :UInt64;
   server @1 :UInt64;
@@ -117,29 +118,29 @@
   sentAgeMs @3 :UInt32;
 }
 
-# A request that was lost with a server, and was served since.
+# A request that was lost with a server and has been served since.
 struct ServedRequest {
   print @0 :UInt64;
   ageMs @1 :UInt32;
 }
 
-# What the sender has seen of servers that end, as a datagram behind the bytes that codec
-# crash_news.cpp names.
+# Requests that were lost, served or barred at the sender. Sent as a datagram after the prefix that
+# the codec crash_update.cpp defines.
 struct CrashNews {
   host @0 :Text;
   lost @1 :List(LostRequest);
   served @2 :List(ServedRequest);
   barred @3 :List(BarredRequest);
-  # Of the store, as the sender knows it.
+  # Era of the store as known to the sender.
   era @4 :UInt64;
 }
 
-# A change of the servers' list, as the store gave it to an entry that read it.
+# A change of the server list, as an entry read it from the store.
 struct ServerChange {
   id @0 :Text;
-  # The registration has ended, or its record is none; the rest is empty then.
+  # The registration has ended or its record is invalid; the other fields are empty then.
   isGone @1 :Bool;
-  # Why the record is no registration; empty if it is one, or has ended.
+  # Why the record is invalid; empty if it is valid or has ended.
   problem @2 :Text;
   service @3 :Text;
   address @4 :Text;
@@ -151,8 +152,8 @@
   bornMs @10 :UInt64;
 }
 
-# What an entry has read of the servers' list, for its neighbours: as a datagram behind the bytes
-# that codec list_news.cpp names, and packed as the answer to a neighbour that lacks something.
+# Update of the server list for neighbours: sent as a datagram after the prefix that the codec
+# list_update.cpp defines, and packed as the response to a neighbour that lacks changes.
 struct ListNews {
   host @0 :Text;
   address @1 :Text;
@@ -164,10 +165,10 @@
   listReader @6 :UInt64;
   listReading @7 :UInt64;
   rulesVersion @8 :UInt64;
-  # Combined hash of the servers that get work at the sender; tells a neighbour whether its list is
-  # the same.
+  # Combined hash of the servers to which the sender routes requests; shows a neighbour whether its
+  # list is the same.
   digest @9 :UInt64;
-  # The changes are those after this position, or the whole list.
+  # The changes are those after this position, or the whole list if isWhole is set.
   from @10 :UInt64;
   isWhole @11 :Bool;
   end @12 :UInt64;
--- a/source/core/router/relay.cpp
+++ b/source/core/router/relay.cpp
@@ -64,12 +64,12 @@
 {
     const auto* server = this->choose_server();
     if (server == nullptr) {
-        if (!this->wait_for_turn()) {
+        if (!this->wait_for_send_slot()) {
             this->give_up(result_code::outcome_unknown);
         }
         return;
     }
-    this->turn_by = common::never;
+    this->slot_deadline = common::never;
     this->send_to(*server);
 }
 
@@ -95,7 +95,8 @@
     const auto keep = this->shared_from_this();
     next->call = this->core->client->send(
         *where,
-        make_forwarded(this->request.asked, this->core->options.names, this->our_headers(server)),
+        make_server_request(
+            this->request.original, this->core->options.names, this->our_headers(server)),
         {.on_head = [keep, next](const http::response& head) { keep->on_head(next, head); },
          .on_chunk = [keep, next](std::string bytes) { keep->on_bytes(next, std::move(bytes)); },
          .on_done =
@@ -125,7 +126,7 @@
     this->ledger.note_sent();
     this->core->counters.sends.add();
     this->core->loads.begin(next->server, next->work, next->prompt_work);
-    this->core->intake.note_sent(server, this->cold_per_second(), now);
+    this->core->limiter.note_sent(server, this->cold_per_second(), now);
     this->core->rollouts.note_sent(this->service, this->session_hash, server.version, now);
     return next;
 }
@@ -142,7 +143,7 @@
         this->urgency()};
 }
 
-auto relay::settle(const std::shared_ptr<attempt>& of, attempt_end end, server_outcome outcome)
+auto relay::end_attempt(const std::shared_ptr<attempt>& of, attempt_end end, server_outcome outcome)
     -> void
 {
     if (of->ended) {
@@ -151,10 +152,10 @@
     of->ended = true;
     this->ledger.note_end(end);
     const bool is_whole = end == attempt_end::ran && outcome == server_outcome::good;
-    const bool was_waited_for =
-        outcome == server_outcome::failed && end != attempt_end::ran && of->said == verdict::none;
+    const bool was_waited_for = outcome == server_outcome::failed && end != attempt_end::ran &&
+                                of->head_verdict == verdict::none;
     if (is_whole || was_waited_for) {
-        this->note_whole_time(
+        this->note_total_time(
             *of, is_whole ? routing::time_bound::seen : routing::time_bound::at_least);
     }
     const auto now = this->core->hooks.clock();
@@ -173,19 +174,20 @@
     }
 }
 
-auto relay::leave(const std::shared_ptr<attempt>& of, attempt_end end, server_outcome outcome)
+auto relay::abandon(const std::shared_ptr<attempt>& of, attempt_end end, server_outcome outcome)
     -> void
 {
-    this->drop_call();
-    this->settle(of, end, outcome);
+    this->cancel_call();
+    this->end_attempt(of, end, outcome);
 }
 
-auto relay::print() -> routing::request_fingerprint
+auto relay::fingerprint() -> routing::request_fingerprint
 {
-    if (!this->known_print) {
-        this->known_print = this->core->print_of(this->request.asked, this->request.caller);
+    if (!this->cached_fingerprint) {
+        this->cached_fingerprint =
+            this->core->fingerprint_of(this->request.original, this->request.caller);
     }
-    return *this->known_print;
+    return *this->cached_fingerprint;
 }
 
 auto relay::is_stream() const -> bool
@@ -200,22 +202,22 @@
 
 auto relay::may_send_again() const -> bool
 {
-    return this->ledger.may_send_again(*this->request.route, this->core->options.most_sends) &&
+    return this->ledger.may_send_again(*this->request.route, this->core->options.max_sends) &&
            this->core->hooks.clock() < this->give_up_at;
 }
 
 auto relay::may_leave_current() const -> bool
 {
-    return this->ledger.may_leave(*this->request.route, this->core->options.most_sends) &&
+    return this->ledger.may_leave(*this->request.route, this->core->options.max_sends) &&
            this->core->hooks.clock() < this->give_up_at;
 }
 
-auto relay::try_again(result_code why) -> void
+auto relay::retry(result_code why) -> void
 {
     if (this->ended) {
         return;
     }
-    if (this->core->crashes.has_barred() && this->core->crashes.is_barred(this->print())) {
+    if (this->core->crashes.has_barred() && this->core->crashes.is_barred(this->fingerprint())) {
         this->give_up(result_code::ends_servers);
         return;
     }
@@ -234,7 +236,7 @@
     }
     const bool is_not_run = this->ledger.is_not_run();
     if (why == result_code::ends_servers && !is_not_run) {
-        // The refusal says that it has not run.
+        // The refusal states that the request has not run, which is not certain here.
         why = result_code::outcome_unknown;
     }
     else if (
@@ -248,7 +250,7 @@
         this->out->send(std::move(*this->failure_to_pass));
     }
     else {
-        this->out->send(own_answer(common::make_error(why), this->come_back_after()));
+        this->out->send(make_own_response(common::make_error(why), this->retry_after()));
     }
     this->finish(common::row_of(why).name);
 }
@@ -260,15 +262,15 @@
         return;
     }
     const auto patience = std::chrono::duration_cast<common::duration>(
-        pause * this->core->options.stalled_after_pauses);
-    const auto usual = this->core->paces[this->service].expected(of->work_ahead);
+        pause * this->core->options.stall_pause_factor);
+    const auto usual = this->core->speeds[this->service].expected(of->work_ahead);
     const auto limit =
         of->has_events
             ? patience
             : std::max<common::duration>(
                   patience, this->core->first_event_limit(this->request.route->name, usual));
     const auto now = this->core->hooks.clock();
-    // A stream that stalls and may not be sent again is looked at once more after a whole limit.
+    // An overdue stream that may not be sent again is checked again after a full limit.
     const bool is_overdue = now - of->last_progress >= limit;
     this->core->hooks.timer(
         (is_overdue ? now : of->last_progress) + limit, [weak = this->weak_from_this(), of, limit] {
@@ -277,7 +279,7 @@
                 return;
             }
             const bool is_silent = self->core->hooks.clock() - of->last_progress >= limit;
-            // Without a second send the server is all there is: it may be slow, and not dead.
+            // Without another attempt, a slow server is better than none.
             if (!is_silent || !self->may_leave_current() || !self->retries().take_retry()) {
                 self->watch_for_stall(of);
                 return;
@@ -287,7 +289,7 @@
                 common::log_level::info,
                 "stalled request=" + self->request.caller.attempt +
                     " server=" + of->server.id.value());
-            self->leave(of, attempt_end::unknown, server_outcome::stalled);
+            self->abandon(of, attempt_end::unknown, server_outcome::stalled);
             self->core->counters.resumed.add(self->is_streaming ? 1 : 0);
             self->send_next();
         });
@@ -311,7 +313,7 @@
         return;
     }
     if (this->current != nullptr) {
-        this->leave(this->current, attempt_end::unknown, of_current);
+        this->abandon(this->current, attempt_end::unknown, of_current);
     }
     this->give_up(this->ledger.is_not_run() ? if_not_run : otherwise);
 }
@@ -323,13 +325,13 @@
     }
     if (this->current != nullptr) {
         // Says nothing about the server.
-        this->leave(this->current, attempt_end::unknown, server_outcome::refused);
+        this->abandon(this->current, attempt_end::unknown, server_outcome::refused);
     }
     this->out->abort();
     this->finish("caller_left");
 }
 
-auto relay::drop_call() -> void
+auto relay::cancel_call() -> void
 {
     if (this->current != nullptr && this->current->call != nullptr) {
         this->current->call->cancel();
@@ -347,7 +349,7 @@
         common::log_level::info,
         "ended request=" + this->request.caller.attempt + " how=" + std::string{how} +
             " sends=" + std::to_string(this->ledger.sends()) +
-            " first_event_ms=" + std::to_string(this->first_event_after.count()) + " last_event=" +
+            " first_event_ms=" + std::to_string(this->first_event_wait.count()) + " last_event=" +
             std::to_string(this->last_event) + " ms=" + std::to_string(took.count()));
     this->out.reset();
 }
--- a/source/core/router/relay.hpp
+++ b/source/core/router/relay.hpp
@@ -17,25 +17,25 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(to - from);
 }
 
-/// A request that has passed the checks, and the rules under which it did.
+/// A request that passed the checks, with the rules that applied.
 struct admitted_request {
-    http::request asked;
+    http::request original;
     caller_request caller;
     std::shared_ptr<const routing::route_table> rules;
     const routing::route* route = nullptr;
-    /// Whose key the caller has; null without one.
+    /// Owner of the caller's key; null without a key.
     const routing::organisation* owner = nullptr;
-    /// Times count from here.
+    /// Start of all times and limits of the request.
     time_point received;
 };
 
-/// One request on its way: sends it to servers until one has answered it or nothing more may be
-/// tried, and gives the caller exactly one answer.
+/// Relays one request: sends it to servers until one has responded or no more attempts are allowed,
+/// and gives the caller exactly one response.
 ///
-/// What is known of an attempt decides what may follow. A request that has not been sent, or that
-/// the server says it has not run, may go elsewhere. One that may have run goes elsewhere only if
-/// its route lets it run twice, or, for a stream that may be resumed, behind the last event that
-/// the caller has.
+/// What is known of an attempt decides what may follow. A request that was not sent, or that the
+/// server declares not executed, may be sent to another server. One that may have run is sent again
+/// only if its route allows it to run twice, or, for a resumable stream, from the event after the
+/// last one that the caller has.
 class relay : public std::enable_shared_from_this<relay> {
 public:
     static auto begin(
@@ -49,7 +49,7 @@
         std::shared_ptr<http::responder> out);
     ~relay();
 
-    /// The entry's process ends now.
+    /// Ends the request because the entry's process ends now.
     auto on_process_ends() -> void;
 
     relay(const relay&) = delete;
@@ -58,17 +58,17 @@
     auto operator=(relay&&) -> relay& = delete;
 
 private:
-    /// What the head of an answer says about the attempt.
+    /// What the head of a response says about the attempt.
     enum class verdict : std::uint8_t {
-        /// No head yet.
+        /// No head has been received yet.
         none,
-        /// A success of the server, for this attempt.
+        /// The server ran this attempt successfully.
         success,
         /// The server ran it and failed.
         server_failure,
         /// The server has not run it and never will.
         not_executed,
-        /// Nothing that can be believed.
+        /// The response can't be trusted.
         untrusted,
     };
 
@@ -76,77 +76,80 @@
     struct attempt {
         routing::server_instance server;
         common::version_id version;
-        /// Work still under way; `prompt_work` of it ends with the first event.
+        /// Work still in flight; `prompt_work` of it ends with the first event.
         double work = 0.0;
         double prompt_work = 0.0;
-        /// Work that the server had to do before this attempt's answer, its own prompt included.
+        /// Work that the server had to do before this attempt's first event, including its own
+        /// prompt.
         double work_ahead = 0.0;
         time_point sent;
         time_point last_progress;
-        verdict said = verdict::none;
+        verdict head_verdict = verdict::none;
         http::response head;
-        /// Of the server, in that head.
-        server_directives words;
+        /// Directives of the server in that head.
+        server_directives directives;
         std::string body;
         std::shared_ptr<http::call> call;
         std::optional<routing::event_splitter> events;
         bool has_events = false;
-        /// The server was still cold when it was sent: its times say nothing of its version.
+        /// The server was cold when the attempt was sent, so its times say nothing about its
+        /// version.
         bool is_cold = false;
         time_point first_event;
-        /// Events of this attempt.
+        /// Events received in this attempt.
         std::int64_t events_seen = 0;
-        /// Prompts that waited at the server, summed over `load_samples` moments of the stream.
+        /// Prompts being read by the server, summed over `load_samples` samples taken during the
+        /// stream.
         double reading_sum = 0.0;
         unsigned load_samples = 0;
-        /// Its pace, or its whole time, has been handed to the guard of roll-outs.
+        /// Its pause between events, or its total time, has been reported to the roll-out guide.
         bool is_timed = false;
-        /// Its connection ended in its midst.
+        /// Its connection was lost before the response ended.
         bool was_lost = false;
         bool ended = false;
     };
 
     auto start() -> void;
     auto choose_target() -> void;
-    /// The server for the model in use; null when none is left.
+    /// Chooses the server for the model in use; null if none is left.
     [[nodiscard]] auto choose_server() const -> const routing::registration*;
-    [[nodiscard]] auto allowed_by(
+    [[nodiscard]] auto filter_by_version(
         const routing::version_rule& rule, std::vector<const routing::registration*> usable) const
         -> std::vector<const routing::registration*>;
     [[nodiscard]] auto has_tried(const routing::registration& server) const -> bool;
-    /// Servers of the request's service that the rules let it go to.
-    [[nodiscard]] auto open_servers() const -> std::vector<const routing::registration*>;
-    /// To which versions its session may go. Anew for each send: a version that was fine for the
+    /// Servers of the request's service that the rules allow for it.
+    [[nodiscard]] auto eligible_servers() const -> std::vector<const routing::registration*>;
+    /// Which versions its session may use. Evaluated for each send: a version that was good for the
     /// first may have been found bad since.
     [[nodiscard]] auto version_rule(time_point now) const -> routing::version_rule;
-    /// Whether its route or its organisation says in which regions it may run.
-    [[nodiscard]] auto has_homes() const -> bool;
-    /// What a cold server of the request's service bears; 0 if it bears all.
+    /// Whether its route or its organisation restricts the regions in which it may run.
+    [[nodiscard]] auto has_region_limits() const -> bool;
+    /// Requests per second that a cold server of the service can serve; 0 if unlimited.
     [[nodiscard]] auto cold_per_second() const -> double;
-    [[nodiscard]] auto books() const -> routing::server_trackers;
+    [[nodiscard]] auto trackers() const -> routing::server_trackers;
     [[nodiscard]] auto
     choose_among(const std::vector<const routing::registration*>& allowed, time_point now) const
         -> const routing::registration*;
-    /// Whether a server would take the request now that may go to `first` again.
-    auto may_go_on_after(const routing::server_instance& first) -> bool;
-    /// When a server that it may go to takes a request of this entry next; `never` without one.
-    [[nodiscard]] auto next_turn() const -> time_point;
-    /// When a caller should come back that is refused since no server takes its request.
-    [[nodiscard]] auto come_back_after() const -> std::chrono::milliseconds;
+    /// Whether some server, `first` included, would accept the request now.
+    auto could_send_after(const routing::server_instance& first) -> bool;
+    /// When an eligible server next accepts a request of this entry; `never` if there is none.
+    [[nodiscard]] auto next_send_slot() const -> time_point;
+    /// Time after which the caller should return if no server accepts its request.
+    [[nodiscard]] auto retry_after() const -> std::chrono::milliseconds;
     auto log_no_server() const -> void;
-    /// Sends the request on when its turn at a server comes; false if that is too late.
-    auto wait_for_turn() -> bool;
-    /// Whether the largest model's first event would come after the route's target.
+    /// Sends the request at its next send slot; false if that is too late.
+    auto wait_for_send_slot() -> bool;
+    /// Whether the larger model's first event would come after the route's target.
     auto larger_would_be_late() -> bool;
     auto use_model(std::size_t at) -> void;
     auto send_next() -> void;
     auto send_to(const routing::registration& server) -> void;
-    /// Enters a send to `server` in all books.
+    /// Creates the attempt, and records the send to `server` in all trackers.
     auto begin_attempt(const routing::registration& server) -> std::shared_ptr<attempt>;
     [[nodiscard]] auto our_headers(const routing::registration& server) const -> forward_headers;
-    [[nodiscard]] auto placement_wish() const -> routing::placement_request;
+    [[nodiscard]] auto make_placement_request() const -> routing::placement_request;
 
-    /// Work of a request to one of the service's engines, as the load book counts it.
+    /// Work of a request for the service's servers, in the unit of `load_tracker`.
     struct request_work {
         double prompt = 0.0;
         double answer = 0.0;
@@ -157,60 +160,61 @@
     [[nodiscard]] auto urgency() const -> int;
 
     auto on_head(const std::shared_ptr<attempt>& of, const http::response& head) -> void;
-    /// Takes in what the server says of itself.
-    auto hear_server(const attempt& of) const -> void;
-    /// Whether the answer names another request: the connection held one too many.
-    [[nodiscard]] auto is_for_another(const http::response& head) const -> bool;
+    /// Applies the directives that the server stated in the response.
+    auto apply_directives(const attempt& of) const -> void;
+    /// Whether the response belongs to another request, because the connection held a stale one.
+    [[nodiscard]] auto is_for_other_request(const http::response& head) const -> bool;
     auto on_bytes(const std::shared_ptr<attempt>& of, std::string bytes) -> void;
     auto on_events(const std::shared_ptr<attempt>& of, const std::string& bytes) -> void;
     auto on_done(const std::shared_ptr<attempt>& of, const common::result<http::response>& answer)
         -> void;
     auto on_success(const std::shared_ptr<attempt>& of) -> void;
-    /// True when the answer was dropped for a larger model's.
+    /// Asks a larger model if the answer is not confident enough. Returns whether the answer was
+    /// dropped for that.
     auto ask_larger_model(const std::shared_ptr<attempt>& of) -> bool;
-    /// Of a head that is not another request's.
-    [[nodiscard]] auto judge(const http::response& head) const -> verdict;
+    /// Classifies a head that does not belong to another request.
+    [[nodiscard]] auto classify_head(const http::response& head) const -> verdict;
 
-    /// Hands the pace of the answer to the guard of roll-outs, once an attempt.
-    auto note_pace(attempt& of) const -> void;
-    /// The same for an answer that ends or is given up: how long it took, or at least.
-    auto note_whole_time(attempt& of, routing::time_bound bound) const -> void;
+    /// Reports the mean pause between events to the roll-out guide, once per attempt.
+    auto note_event_pause(attempt& of) const -> void;
+    /// Reports the total time of an attempt that ended, or its lower bound if it was given up.
+    auto note_total_time(attempt& of, routing::time_bound bound) const -> void;
     auto note_time(attempt& of, const routing::timed_answer& timed) const -> void;
     auto log_answer(const attempt& of, std::string_view what) const -> void;
-    auto log_lost(const attempt& of, const common::error& why) -> void;
-    auto on_lost(const std::shared_ptr<attempt>& of, const common::error& why) -> void;
+    auto log_connection_lost(const attempt& of, const common::error& why) -> void;
+    auto on_connection_lost(const std::shared_ptr<attempt>& of, const common::error& why) -> void;
 
-    /// Ends the attempt's bookkeeping; once.
-    auto settle(
+    /// Records the end of the attempt in all trackers, once.
+    auto end_attempt(
         const std::shared_ptr<attempt>& of,
         routing::attempt_end end,
         routing::server_outcome outcome) -> void;
-    /// The same for an attempt that may still be under way: its call is ended first.
-    auto leave(
+    /// Cancels the call of an attempt that may be in flight, then records its end.
+    auto abandon(
         const std::shared_ptr<attempt>& of,
         routing::attempt_end end,
         routing::server_outcome outcome) -> void;
     [[nodiscard]] auto is_stream() const -> bool;
-    /// As `router_core::print_of`; made once it is asked for.
-    auto print() -> routing::request_fingerprint;
-    /// The caller has a part of the stream from a connection that was cut.
+    /// As `router_core::fingerprint_of`, computed on first use.
+    auto fingerprint() -> routing::request_fingerprint;
+    /// Whether the caller already has a part of the stream from an earlier connection.
     [[nodiscard]] auto is_resumed() const -> bool;
     auto retries() -> placement::retry_budget&;
-    auto try_again(common::result_code why) -> void;
+    auto retry(common::result_code why) -> void;
     [[nodiscard]] auto may_send_again() const -> bool;
-    /// Whether the send under way may be left for another one.
+    /// Whether the attempt in flight may be abandoned for another one.
     [[nodiscard]] auto may_leave_current() const -> bool;
     auto give_up(common::result_code why) -> void;
 
     auto watch_for_stall(const std::shared_ptr<attempt>& of) -> void;
     auto on_time_up() -> void;
-    /// Ends the send under way, and gives the caller a final answer for one of two reasons.
+    /// Ends the attempt in flight and gives the caller a final response with one of two results.
     auto stop(
         routing::server_outcome of_current,
         common::result_code if_not_run,
         common::result_code otherwise) -> void;
     auto on_caller_left() -> void;
-    auto drop_call() -> void;
+    auto cancel_call() -> void;
     auto finish(std::string_view how) -> void;
 
     std::shared_ptr<router_core> core;
@@ -219,26 +223,26 @@
 
     time_point received;
     time_point give_up_at;
-    /// No longer for a turn at a server; `never` while it has not waited.
-    time_point turn_by = common::never;
+    /// Latest time for a send slot; `never` if it has not waited.
+    time_point slot_deadline = common::never;
     common::service_name service;
-    /// Empty when the caller's choice stands.
+    /// Empty to keep the caller's choice.
     std::string model;
-    /// Place of `model` among the route's.
-    std::size_t model_at = 0;
+    /// Index of `model` among the route's models.
+    std::size_t model_index = 0;
 
     std::uint64_t session_hash = 0;
-    std::optional<routing::request_fingerprint> known_print;
+    std::optional<routing::request_fingerprint> cached_fingerprint;
 
     std::shared_ptr<attempt> current;
     std::vector<routing::server_instance> tried;
     routing::attempt_ledger ledger;
-    /// A failure that a server answered, for the caller when nothing better comes.
+    /// A server's failure response, which the caller gets if no later attempt succeeds.
     std::optional<http::response> failure_to_pass;
-    /// The caller has the head of a stream.
+    /// The head of a stream was sent to the caller.
     bool is_streaming = false;
-    /// From the request to the first event that was passed on; 0 without one.
-    std::chrono::milliseconds first_event_after{0};
+    /// Time from the request to the first forwarded event; 0 without one.
+    std::chrono::milliseconds first_event_wait{0};
     std::int64_t last_event;
     bool ended = false;
 };
--- a/source/core/router/relay_answers.cpp
+++ b/source/core/router/relay_answers.cpp
@@ -5,7 +5,7 @@
 #include "router/relay.hpp"
 #include "routing/model_choice.hpp"
 
-/// What servers' answers mean for a request: the half of `relay` that reads.
+/// Part of `relay` that handles servers' responses.
 namespace reedramp::router {
 
 using common::execution;
@@ -17,17 +17,17 @@
 
 constexpr std::uint16_t misdirected = 421;
 
-/// Second sends that larger models leave in the budget: about those that one server's loss asks
-/// for. After all callers of a killed entry came back at once, larger models took the budget, and
-/// streams that stalled then could not go on elsewhere.
-constexpr double retries_for_lost = 8.0;
+/// Retries that larger models leave in the budget: about those that the loss of one server needs.
+/// When all callers of a killed entry returned at once, larger models used up the budget, and
+/// streams that stalled then could not be resumed elsewhere.
+constexpr double reserved_retries = 8.0;
 
 auto is_success(std::uint16_t status) -> bool
 {
     return status >= 200 && status < 300; // NOLINT(readability-magic-numbers): the 2xx class
 }
 
-/// -1 for what is no number.
+/// Returns -1 for text that does not start with a number.
 auto parse_confidence(std::string_view text) -> int
 {
     int value = -1;
@@ -37,7 +37,7 @@
 
 } // namespace
 
-auto relay::judge(const http::response& head) const -> verdict
+auto relay::classify_head(const http::response& head) const -> verdict
 {
     const auto& names = this->core->options.names;
     const bool not_run = http::find_header(head.headers, names.not_executed).has_value();
@@ -45,7 +45,8 @@
         return verdict::not_executed;
     }
     if (http::find_header(head.headers, "Content-Encoding")) {
-        return verdict::untrusted; // Nobody asked for one, so these are not the server's bytes.
+        return verdict::untrusted; // No encoding was requested, so these are not the server's
+                                   // bytes.
     }
     const bool is_signed = http::find_header(head.headers, names.signature).has_value();
     if (is_success(head.status)) {
@@ -55,7 +56,7 @@
     return is_signed ? verdict::server_failure : verdict::untrusted;
 }
 
-auto relay::is_for_another(const http::response& head) const -> bool
+auto relay::is_for_other_request(const http::response& head) const -> bool
 {
     const auto echoed = http::find_header(head.headers, this->core->options.names.attempt);
     return echoed && *echoed != this->request.caller.attempt;
@@ -66,53 +67,54 @@
     if (of->ended) {
         return;
     }
-    const bool is_own = !this->is_for_another(head);
-    of->said = is_own ? this->judge(head) : verdict::untrusted;
-    if (of->said == verdict::success) {
+    const bool is_own = !this->is_for_other_request(head);
+    of->head_verdict = is_own ? this->classify_head(head) : verdict::untrusted;
+    if (of->head_verdict == verdict::success) {
         const auto took = milliseconds_between(of->sent, this->core->hooks.clock());
-        this->core->paces[this->service].note(of->server, took, of->work_ahead);
+        this->core->speeds[this->service].note(of->server, took, of->work_ahead);
     }
     if (is_own && head.status != misdirected) {
-        of->words = read_server_words(head, this->core->options.names);
-        this->hear_server(*of);
+        of->directives = read_server_words(head, this->core->options.names);
+        this->apply_directives(*of);
     }
-    of->head = make_passed_on(head);
+    of->head = make_caller_response(head);
     of->last_progress = this->core->hooks.clock();
-    if (of->said == verdict::untrusted) {
-        // Reading on could take in what belongs to yet another request.
+    if (of->head_verdict == verdict::untrusted) {
+        // Further bytes could belong to yet another request.
         common::log(
             common::log_part::place,
             common::log_level::warning,
             "answer not trusted request=" + this->request.caller.attempt +
                 " server=" + of->server.id.value() + " status=" + std::to_string(head.status));
-        this->leave(of, attempt_end::unknown, server_outcome::failed);
-        this->try_again(result_code::outcome_unknown);
+        this->abandon(of, attempt_end::unknown, server_outcome::failed);
+        this->retry(result_code::outcome_unknown);
         return;
     }
-    if (of->said == verdict::not_executed && head.status == misdirected) {
-        // Another server has the address: the one that was meant has ended.
+    if (of->head_verdict == verdict::not_executed && head.status == misdirected) {
+        // Another server has the address now, so the intended one has ended.
         this->core->servers.drop(of->server, this->core->hooks.clock());
     }
-    if (of->said == verdict::success && this->is_stream() && !this->ask_larger_model(of)) {
+    if (of->head_verdict == verdict::success && this->is_stream() && !this->ask_larger_model(of)) {
         of->events.emplace(this->last_event);
     }
 }
 
-auto relay::hear_server(const attempt& of) const -> void
+auto relay::apply_directives(const attempt& of) const -> void
 {
-    const auto& words = of.words;
-    if (words.is_leaving) {
-        this->core->hear_leaving(of.server, this->request.caller.attempt);
+    const auto& directives = of.directives;
+    if (directives.is_leaving) {
+        this->core->apply_leaving(of.server, this->request.caller.attempt);
     }
-    if (words.rest) {
-        this->core->give_rest(of.server, *words.rest);
+    if (directives.backoff) {
+        this->core->apply_backoff(of.server, *directives.backoff);
     }
-    if (of.said == verdict::untrusted) {
+    if (of.head_verdict == verdict::untrusted) {
         return;
     }
-    // A refusal may come from in front of the server, and takes nothing back by its silence.
-    if (of.said != verdict::not_executed || words.limit || words.has_odd_limit) {
-        this->core->hear_limit(of.server, words, this->request.caller.attempt);
+    // A refusal may come from a proxy in front of the server, so a missing limit does not lift one.
+    if (of.head_verdict != verdict::not_executed || directives.limit ||
+        directives.has_malformed_limit) {
+        this->core->apply_limit(of.server, directives, this->request.caller.attempt);
     }
 }
 
@@ -120,34 +122,33 @@
 {
     const auto& route = *this->request.route;
     const bool may_ask = !this->model.empty() && !this->is_streaming &&
-                         this->ledger.may_be_dropped(route, this->core->options.most_sends);
-    const auto said = http::find_header(of->head.headers, this->core->options.names.confidence);
-    const auto confidence = said ? parse_confidence(*said) : -1;
+                         this->ledger.may_be_dropped(route, this->core->options.max_sends);
+    const auto stated = http::find_header(of->head.headers, this->core->options.names.confidence);
+    const auto confidence = stated ? parse_confidence(*stated) : -1;
     const bool must_be_quick = this->core->must_be_quick(route, this->request.caller);
-    const auto asked = must_be_quick ? 0.0
-                                     : routing::asked_confidence(
-                                           this->core->options.models,
-                                           route,
-                                           this->core->waits.level(),
-                                           this->larger_would_be_late());
-    const auto accepted = routing::is_accepted(route, this->model_at, confidence, asked);
+    const auto required = must_be_quick ? 0.0
+                                        : routing::asked_confidence(
+                                              this->core->options.models,
+                                              route,
+                                              this->core->waits.level(),
+                                              this->larger_would_be_late());
+    const auto accepted = routing::is_accepted(route, this->model_index, confidence, required);
     common::log(
         common::log_part::policy,
         common::log_level::info,
         "answer " + std::string{accepted ? "accepted" : "dropped"} +
             " request=" + this->request.caller.attempt + " model=" + this->model + " confidence=" +
-            std::to_string(confidence) + " asked=" + std::to_string(static_cast<int>(asked)));
-    // An answer that is there is not dropped where no server would take the request again: all may
-    // be cold, or evacuated by now. A second model draws on the budget of second sends as any other
-    // send does.
-    const bool is_dropped = !accepted && may_ask && this->may_go_on_after(of->server) &&
-                            this->retries().take_retry(retries_for_lost);
+            std::to_string(confidence) + " asked=" + std::to_string(static_cast<int>(required)));
+    // An answer is not dropped if no server would accept the request again: all may be cold or
+    // evacuated by now. Asking a second model uses the retry budget like any other further send.
+    const bool is_dropped = !accepted && may_ask && this->could_send_after(of->server) &&
+                            this->retries().take_retry(reserved_retries);
     if (!is_dropped) {
         return false;
     }
-    this->leave(of, attempt_end::ran, server_outcome::good);
+    this->abandon(of, attempt_end::ran, server_outcome::good);
     this->use_model(routing::next_model(route));
-    // The server has done nothing wrong, and may hold the prompt's shared parts.
+    // The server did nothing wrong, and may have cached the prompt's shared parts.
     std::erase(this->tried, of->server);
     this->core->counters.larger_models.add();
     this->send_next();
@@ -165,20 +166,20 @@
         return;
     }
     of->body += bytes;
-    if (of->body.size() > this->core->options.longest_answer) {
-        this->leave(of, attempt_end::ran, server_outcome::failed);
-        this->try_again(result_code::server_failed);
+    if (of->body.size() > this->core->options.max_buffered_response) {
+        this->abandon(of, attempt_end::ran, server_outcome::failed);
+        this->retry(result_code::server_failed);
     }
 }
 
-auto relay::note_pace(attempt& of) const -> void
+auto relay::note_event_pause(attempt& of) const -> void
 {
     if (of.is_timed) {
         return;
     }
     of.reading_sum += this->core->loads.total(of.server, of.last_progress).reading;
     of.load_samples += 1;
-    // Enough pauses for one prompt that is read beside it to count little.
+    // Enough pauses that one prompt processed at the same time matters little.
     constexpr std::int64_t enough_events = 7;
     if (of.events_seen < enough_events) {
         return;
@@ -192,11 +193,11 @@
          .reading = of.reading_sum / of.load_samples});
 }
 
-auto relay::note_whole_time(attempt& of, routing::time_bound bound) const -> void
+auto relay::note_total_time(attempt& of, routing::time_bound bound) const -> void
 {
     const auto took =
         std::chrono::duration<double, std::milli>(this->core->hooks.clock() - of.sent);
-    // A dropped small answer ends with its head, and would count as very fast.
+    // A dropped answer of a small model ends with its head, and would count as very fast.
     const bool is_dropped =
         this->is_stream() && bound == routing::time_bound::seen && !of.has_events;
     if (!of.is_timed && !is_dropped) {
@@ -239,20 +240,20 @@
         if (!this->is_streaming) {
             this->is_streaming = true;
             const auto waited = milliseconds_between(this->received, of->last_progress);
-            this->first_event_after = waited;
+            this->first_event_wait = waited;
             this->core->waits.note(waited, this->request.route->target);
             this->core->counters.first_event_ms.record(static_cast<double>(waited.count()));
             this->out->start(of->head);
         }
-        // Events of one datagram come at one moment; the time of the last one is what counts.
+        // Events of one network packet arrive together; the time of the last one counts.
         of->events_seen += of->events->last_id() - this->last_event;
-        this->note_pace(*of);
+        this->note_event_pause(*of);
         this->last_event = of->events->last_id();
         this->out->write(std::move(whole));
     }
     if (!in_order) {
-        this->leave(of, attempt_end::ran, server_outcome::failed);
-        this->try_again(result_code::stream_broken);
+        this->abandon(of, attempt_end::ran, server_outcome::failed);
+        this->retry(result_code::stream_broken);
     }
 }
 
@@ -263,32 +264,32 @@
         return;
     }
     if (!answer) {
-        this->on_lost(of, answer.error());
+        this->on_connection_lost(of, answer.error());
         return;
     }
-    switch (of->said) {
+    switch (of->head_verdict) {
     case verdict::success:
         this->on_success(of);
         return;
     case verdict::not_executed:
         this->log_answer(*of, "server refused");
-        this->settle(of, attempt_end::not_executed, server_outcome::refused);
-        if (of->words.rest) {
+        this->end_attempt(of, attempt_end::not_executed, server_outcome::refused);
+        if (of->directives.backoff) {
             this->ledger.note_rest_asked();
         }
-        this->try_again(result_code::no_capacity);
+        this->retry(result_code::no_capacity);
         return;
     case verdict::server_failure:
         this->log_answer(*of, "server failed");
-        this->settle(of, attempt_end::ran, server_outcome::failed);
+        this->end_attempt(of, attempt_end::ran, server_outcome::failed);
         of->head.body = std::move(of->body);
         this->failure_to_pass = std::move(of->head);
-        this->try_again(result_code::server_failed);
+        this->retry(result_code::server_failed);
         return;
     case verdict::none:
     case verdict::untrusted:
-        this->settle(of, attempt_end::unknown, server_outcome::failed);
-        this->try_again(result_code::outcome_unknown);
+        this->end_attempt(of, attempt_end::unknown, server_outcome::failed);
+        this->retry(result_code::outcome_unknown);
         return;
     }
 }
@@ -300,53 +301,54 @@
         common::log_level::info,
         std::string{what} + " request=" + this->request.caller.attempt +
             " server=" + of.server.id.value() + " status=" + std::to_string(of.head.status) +
-            (of.words.rest ? " rest_ms=" + std::to_string(of.words.rest->count()) : "") +
-            (of.words.has_odd_rest ? " rest=unreadable" : ""));
+            (of.directives.backoff ? " rest_ms=" + std::to_string(of.directives.backoff->count())
+                                   : "") +
+            (of.directives.has_malformed_backoff ? " rest=unreadable" : ""));
 }
 
-auto relay::log_lost(const attempt& of, const common::error& why) -> void
+auto relay::log_connection_lost(const attempt& of, const common::error& why) -> void
 {
     common::log(
         common::log_part::place,
         common::log_level::info,
         "attempt lost request=" + this->request.caller.attempt + " print=" +
-            to_string(this->print()) + " server=" + of.server.id.value() + " after_ms=" +
+            to_string(this->fingerprint()) + " server=" + of.server.id.value() + " after_ms=" +
             std::to_string(milliseconds_between(of.sent, this->core->hooks.clock()).count()) +
-            " head=" + (of.said == verdict::none ? "no" : "yes") +
+            " head=" + (of.head_verdict == verdict::none ? "no" : "yes") +
             " run=" + std::string{common::to_string(why.run)} + " detail=" + why.detail);
 }
 
-auto relay::on_lost(const std::shared_ptr<attempt>& of, const common::error& why) -> void
+auto relay::on_connection_lost(const std::shared_ptr<attempt>& of, const common::error& why) -> void
 {
-    const bool unsent = why.run == execution::not_run && of->said == verdict::none;
-    const auto end = of->said != verdict::none ? attempt_end::ran
-                     : unsent                  ? attempt_end::not_sent
-                     : this->is_stream()       ? attempt_end::unknown_in_queue
-                                               : attempt_end::unknown;
+    const bool unsent = why.run == execution::not_run && of->head_verdict == verdict::none;
+    const auto end = of->head_verdict != verdict::none ? attempt_end::ran
+                     : unsent                          ? attempt_end::not_sent
+                     : this->is_stream()               ? attempt_end::unknown_in_queue
+                                                       : attempt_end::unknown;
     of->was_lost = !unsent;
-    this->settle(of, end, unsent ? server_outcome::unreachable : server_outcome::failed);
-    this->log_lost(*of, why);
+    this->end_attempt(of, end, unsent ? server_outcome::unreachable : server_outcome::failed);
+    this->log_connection_lost(*of, why);
     if (unsent) {
         this->core->crashes.note_down(of->server, this->core->hooks.clock());
     }
     else {
         this->core->crashes.note_lost(
-            this->print(), of->server, of->sent, this->core->hooks.clock());
+            this->fingerprint(), of->server, of->sent, this->core->hooks.clock());
     }
-    this->try_again(result_code::outcome_unknown);
+    this->retry(result_code::outcome_unknown);
 }
 
 auto relay::on_success(const std::shared_ptr<attempt>& of) -> void
 {
     if (of->events && of->events->has_rest()) {
-        // The body ended as if whole, inside an event.
-        this->settle(of, attempt_end::ran, server_outcome::failed);
-        this->try_again(result_code::stream_broken);
+        // The body ended normally, but in the middle of an event.
+        this->end_attempt(of, attempt_end::ran, server_outcome::failed);
+        this->retry(result_code::stream_broken);
         return;
     }
-    this->settle(of, attempt_end::ran, server_outcome::good);
+    this->end_attempt(of, attempt_end::ran, server_outcome::good);
     if (this->core->crashes.has_suspects()) {
-        this->core->crashes.note_served(this->print(), of->server, this->core->hooks.clock());
+        this->core->crashes.note_served(this->fingerprint(), of->server, this->core->hooks.clock());
     }
     if (of->events && this->is_streaming) {
         this->out->finish();
--- a/source/core/router/relay_target.cpp
+++ b/source/core/router/relay_target.cpp
@@ -5,15 +5,16 @@
 #include "router/relay.hpp"
 #include "routing/model_choice.hpp"
 
-/// Where a request goes, with which model and how urgently: the part of `relay` that chooses.
+/// Part of `relay` that chooses the server, the model and the urgency of a request.
 namespace reedramp::router {
 
 namespace {
 
-/// A token written counts as two tokens read: a batch writes all its tokens in one step, so that
-/// one answer more slows the others little, while a prompt that is read stops them all.
-constexpr double read_tokens_per_written = 2.0;
-/// Work of a request to a plain service, in tokens: the order of a short prompt.
+/// A generated token counts as two prompt tokens. A batch generates a token for all of its answers
+/// in one step, so one more answer slows the others little, while processing a prompt stops them
+/// all.
+constexpr double prompt_tokens_per_answer_token = 2.0;
+/// Work of a request to a plain service, in tokens; about that of a short prompt.
 constexpr double plain_work = 1000.0;
 
 } // namespace
@@ -35,7 +36,7 @@
 
 auto relay::use_model(std::size_t at) -> void
 {
-    this->model_at = at;
+    this->model_index = at;
     this->model = this->request.route->models[at].value();
 }
 
@@ -51,17 +52,17 @@
         return {0.0, plain_work};
     }
     const auto answer = caller.expected_answer_tokens > 0
-                            ? std::min(caller.expected_answer_tokens, caller.most_answer_tokens)
-                            : caller.most_answer_tokens;
+                            ? std::min(caller.expected_answer_tokens, caller.max_answer_tokens)
+                            : caller.max_answer_tokens;
     const auto slowness = this->model_slowness();
     return {
         slowness * static_cast<double>(caller.prompt_tokens),
-        slowness * read_tokens_per_written * static_cast<double>(answer)};
+        slowness * prompt_tokens_per_answer_token * static_cast<double>(answer)};
 }
 
-/// A route's rank around the middle. What was dropped or broken off once has waited already, and
-/// goes first; so does a stream that was cut with its entry: its caller has a part of it, and the
-/// pause counts.
+/// Maps the route's priority around the middle value. A request that is sent again has waited
+/// already and goes ahead, and so does a resumed stream, whose caller has a part of it and notices
+/// the pause.
 auto relay::urgency() const -> int
 {
     constexpr int middle = 4;
@@ -72,36 +73,36 @@
     return std::clamp(has_waited ? rank - ahead : rank, 0, last);
 }
 
-auto relay::placement_wish() const -> routing::placement_request
+auto relay::make_placement_request() const -> routing::placement_request
 {
-    routing::placement_request wish;
-    wish.tried = this->tried;
+    routing::placement_request placement;
+    placement.tried = this->tried;
     const auto work = this->work();
-    wish.work = work.prompt + work.answer;
-    wish.own_data_centre = this->core->options.data_centre;
+    placement.work = work.prompt + work.answer;
+    placement.own_data_centre = this->core->options.data_centre;
     const auto& parts = this->request.caller.parts;
-    // The last part belongs to this request or its session alone: only a stream that is resumed
-    // finds it, too, at the server that wrote its beginning, a moment ago.
+    // The last part is specific to this request or its session. Only a resumed stream finds it
+    // cached as well, at the server that just generated its beginning.
     const std::size_t own_parts = this->is_resumed() ? 0 : 1;
     std::uint64_t shared = 0;
     for (std::size_t i = 0; i + own_parts < parts.size(); ++i) {
         shared += parts[i].tokens;
     }
     if (parts.size() >= 2) {
-        wish.affinity = placement::affinity_hash(parts[parts.size() - 2].id);
-        wish.saved_work = this->model_slowness() * static_cast<double>(shared);
+        placement.affinity = placement::affinity_hash(parts[parts.size() - 2].id);
+        placement.saved_work = this->model_slowness() * static_cast<double>(shared);
     }
-    return wish;
+    return placement;
 }
 
 auto relay::choose_server() const -> const routing::registration*
 {
     const auto now = this->core->hooks.clock();
     const auto rule = this->version_rule(now);
-    if (rule.allows_all() && !this->has_homes()) {
+    if (rule.allows_all() && !this->has_region_limits()) {
         return this->choose_among(this->core->servers.usable(this->service), now);
     }
-    return this->choose_among(this->allowed_by(rule, this->open_servers()), now);
+    return this->choose_among(this->filter_by_version(rule, this->eligible_servers()), now);
 }
 
 auto relay::version_rule(time_point now) const -> routing::version_rule
@@ -114,13 +115,13 @@
     return std::ranges::find(this->tried, server.start()) != this->tried.end();
 }
 
-auto relay::has_homes() const -> bool
+auto relay::has_region_limits() const -> bool
 {
     return !this->request.route->homes.empty() ||
            (this->request.owner != nullptr && !this->request.owner->homes.empty());
 }
 
-auto relay::open_servers() const -> std::vector<const routing::registration*>
+auto relay::eligible_servers() const -> std::vector<const routing::registration*>
 {
     auto open = this->core->servers.usable(this->service);
     const auto& regions = this->core->options.regions;
@@ -131,7 +132,7 @@
     return open;
 }
 
-auto relay::may_go_on_after(const routing::server_instance& first) -> bool
+auto relay::could_send_after(const routing::server_instance& first) -> bool
 {
     const auto had = this->tried;
     std::erase(this->tried, first);
@@ -140,12 +141,13 @@
     return has_server;
 }
 
-auto relay::next_turn() const -> time_point
+auto relay::next_send_slot() const -> time_point
 {
     const auto now = this->core->hooks.clock();
-    const auto known = this->books();
+    const auto known = this->trackers();
     auto next = common::never;
-    for (const auto* server : this->allowed_by(this->version_rule(now), this->open_servers())) {
+    for (const auto* server :
+         this->filter_by_version(this->version_rule(now), this->eligible_servers())) {
         if (!this->has_tried(*server)) {
             next = std::min(next, known.intake->next_turn(*server, known.cold_per_second, now));
         }
@@ -153,23 +155,23 @@
     return next;
 }
 
-auto relay::wait_for_turn() -> bool
+auto relay::wait_for_send_slot() -> bool
 {
-    // Another request may take the turn: looked for again then, and not at once.
+    // Another request may take the slot. The minimum wait avoids retrying in a loop.
     constexpr std::chrono::milliseconds least_wait{10};
     const auto now = this->core->hooks.clock();
-    const bool is_first = this->turn_by == common::never;
+    const bool is_first = this->slot_deadline == common::never;
     if (is_first) {
-        this->turn_by = std::min(now + this->core->options.turn_patience, this->give_up_at);
+        this->slot_deadline = std::min(now + this->core->options.send_slot_wait, this->give_up_at);
     }
-    const auto turn = std::max<time_point>(this->next_turn(), now + least_wait);
-    if (turn > this->turn_by) {
+    const auto slot = std::max<time_point>(this->next_send_slot(), now + least_wait);
+    if (slot > this->slot_deadline) {
         this->log_no_server();
         return false;
     }
-    this->core->counters.turn_waits.add(is_first ? 1 : 0);
-    // Nothing else holds a request that is at no server.
-    this->core->hooks.timer(turn, [self = this->shared_from_this()] {
+    this->core->counters.slot_waits.add(is_first ? 1 : 0);
+    // No server call holds the request here, so the timer keeps it alive.
+    this->core->hooks.timer(slot, [self = this->shared_from_this()] {
         if (!self->ended) {
             self->send_next();
         }
@@ -179,48 +181,48 @@
 
 auto relay::log_no_server() const -> void
 {
-    const auto open = this->open_servers();
+    const auto open = this->eligible_servers();
     const auto now = this->core->hooks.clock();
     const auto cold =
         std::ranges::count_if(open, [now](const auto* server) { return server->is_cold(now); });
     const auto resting = std::ranges::count_if(open, [this, now](const auto* server) {
-        return this->core->intake.rests_until(*server) > now;
+        return this->core->limiter.rests_until(*server) > now;
     });
     const auto limited = std::ranges::count_if(
-        open, [this](const auto* server) { return this->core->intake.is_limited(*server); });
+        open, [this](const auto* server) { return this->core->limiter.is_limited(*server); });
     common::log(
         common::log_part::place,
         common::log_level::info,
-        "no server request=" + this->request.caller.attempt + " service=" + this->service.value() +
-            " open=" + std::to_string(open.size()) + " cold=" + std::to_string(cold) +
-            " limited=" + std::to_string(limited) + " resting=" + std::to_string(resting) +
-            " tried=" + std::to_string(this->tried.size()) +
+        "no server available request=" + this->request.caller.attempt +
+            " service=" + this->service.value() + " open=" + std::to_string(open.size()) +
+            " cold=" + std::to_string(cold) + " limited=" + std::to_string(limited) +
+            " resting=" + std::to_string(resting) + " tried=" + std::to_string(this->tried.size()) +
             " evacuated=" + std::to_string(this->core->evacuations.evacuated().size()));
 }
 
-auto relay::come_back_after() const -> std::chrono::milliseconds
+auto relay::retry_after() const -> std::chrono::milliseconds
 {
     const auto& options = this->core->options;
     const auto now = this->core->hooks.clock();
-    const auto open = this->open_servers();
+    const auto open = this->eligible_servers();
     if (open.empty()) {
-        return options.come_back_when_ready;
+        return options.retry_after_not_ready;
     }
-    const auto known = this->books();
+    const auto known = this->trackers();
     auto next = common::never;
     for (const auto* server : open) {
         next = std::min(next, known.intake->takes_callers_at(*server, known.cold_per_second, now));
     }
     if (next <= now) {
-        return options.come_back_after;
+        return options.retry_after;
     }
     const auto spread = common::random_unit(this->core->hooks.random) *
-                        static_cast<double>(options.returns_spread.count());
+                        static_cast<double>(options.return_spread.count());
     return milliseconds_between(now, next) +
            std::chrono::milliseconds{static_cast<std::int64_t>(spread)};
 }
 
-auto relay::allowed_by(
+auto relay::filter_by_version(
     const routing::version_rule& rule, std::vector<const routing::registration*> usable) const
     -> std::vector<const routing::registration*>
 {
@@ -228,7 +230,7 @@
     routing::keep_allowed(usable, rule);
     if (rule.preferred && rule.spread < 1.0) {
         routing::keep_canaries(usable, rule.spread, [this, now](const auto& server) {
-            return this->has_tried(server) || this->core->intake.takes_few(server, now) ||
+            return this->has_tried(server) || this->core->limiter.takes_few(server, now) ||
                    this->core->health.is_resting(server.start(), now);
         });
     }
@@ -241,13 +243,13 @@
     return known == nullptr ? 0.0 : known->cold_per_second;
 }
 
-auto relay::books() const -> routing::server_trackers
+auto relay::trackers() const -> routing::server_trackers
 {
     return {
         this->core->loads,
-        this->core->paces[this->service],
+        this->core->speeds[this->service],
         this->core->health,
-        &this->core->intake,
+        &this->core->limiter,
         this->cold_per_second()};
 }
 
@@ -256,8 +258,8 @@
 {
     return routing::choose_server(
         allowed,
-        this->placement_wish(),
-        this->books(),
+        this->make_placement_request(),
+        this->trackers(),
         this->core->options.choice,
         this->core->hooks.random(),
         now);
@@ -266,11 +268,12 @@
 auto relay::larger_would_be_late() -> bool
 {
     const auto now = this->core->hooks.clock();
-    const auto used = this->model_at;
+    const auto used = this->model_index;
     this->use_model(routing::next_model(*this->request.route));
     const auto* server = this->choose_server();
     const auto ahead = server == nullptr ? 0.0 : this->core->loads.total(server->start(), now).work;
-    const auto first_event = this->core->paces[this->service].expected(ahead + this->work().prompt);
+    const auto first_event =
+        this->core->speeds[this->service].expected(ahead + this->work().prompt);
     this->use_model(used);
     return now + first_event > this->received + this->request.route->target;
 }
--- a/source/core/router/rollout_writer.cpp
+++ b/source/core/router/rollout_writer.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Between the first tries of two entries: a read and a write at a store that answers slowly.
+/// Delay between the first attempts of two entries: time for a read and a write at a slow store.
 constexpr std::chrono::milliseconds rank_delay{600};
-/// After a call that failed.
+/// Pause after a failed call.
 constexpr std::chrono::milliseconds pause{500};
 
 } // namespace
@@ -43,7 +43,7 @@
 
 auto rollout_writer::read_then_write() -> void
 {
-    this->store.read_outcomes(
+    this->store.read_rollout_states(
         [self = this->shared_from_this()](
             const common::result<stream_reading<routing::rollout_status>>& reading) {
             if (!reading) {
@@ -66,7 +66,7 @@
         return;
     }
     const auto& status = due.front();
-    this->store.write_outcome(
+    this->store.write_rollout_state(
         status,
         at,
         [self = this->shared_from_this(), status](const common::result<stream_position>& written) {
@@ -81,7 +81,7 @@
                 self->core->rollouts.learn(status);
                 return;
             }
-            // Another entry was first, or the answer was lost: the next try reads again.
+            // Another entry was faster, or the response was lost. The next attempt reads again.
             self->next_try = self->core->hooks.clock() + pause;
         });
 }
--- a/source/core/router/router_core.cpp
+++ b/source/core/router/router_core.cpp
@@ -30,35 +30,35 @@
       client(std::move(servers_client)),
       freshness(with_reader(this->options.freshness, this->hooks.random())),
       health(this->options.health),
-      intake(this->options.intake, {this->hooks.place, this->hooks.unix_ms}),
+      limiter(this->options.limiter, {this->hooks.rank, this->hooks.unix_ms}),
       crashes(this->options.crashes), rollouts(this->options.rollout), counters(this->series)
 {
 }
 
-auto router_core::handle(http::request asked, std::shared_ptr<http::responder> out) -> void
+auto router_core::handle(http::request request, std::shared_ptr<http::responder> out) -> void
 {
     this->counters.requests.add();
-    this->handle_at(std::move(asked), std::move(out), this->hooks.clock());
+    this->handle_at(std::move(request), std::move(out), this->hooks.clock());
 }
 
 auto router_core::handle_at(
-    http::request asked, std::shared_ptr<http::responder> out, time_point received) -> void
+    http::request request, std::shared_ptr<http::responder> out, time_point received) -> void
 {
     if (!this->is_ready()) {
-        this->hold(std::move(asked), std::move(out), received);
+        this->hold(std::move(request), std::move(out), received);
         return;
     }
-    auto caller = read_caller_request(asked, this->options.names, received);
+    auto caller = read_caller_request(request, this->options.names, received);
     if (!caller) {
         this->refuse(caller.error(), "-", *out);
         return;
     }
-    const auto found = this->check(asked, *caller);
+    const auto found = this->check(request, *caller);
     if (!found) {
         this->refuse(found.error(), caller->attempt, *out);
         return;
     }
-    if (const auto barred = this->find_barred(asked, *caller)) {
+    if (const auto barred = this->find_barred(request, *caller)) {
         this->refuse(
             common::make_error(common::result_code::ends_servers),
             caller->attempt,
@@ -69,60 +69,60 @@
     const auto* owner = this->rules_in_force->owner_of(caller->key);
     relay::begin(
         this->shared_from_this(),
-        {std::move(asked), std::move(*caller), this->rules_in_force, *found, owner, received},
+        {std::move(request), std::move(*caller), this->rules_in_force, *found, owner, received},
         std::move(out));
 }
 
-auto router_core::print_of(const http::request& asked, const caller_request& caller) const
+auto router_core::fingerprint_of(const http::request& request, const caller_request& caller) const
     -> routing::request_fingerprint
 {
     const auto* owner = this->rules_in_force->owner_of(caller.key);
     return routing::print_of(
         {owner == nullptr ? std::string_view{} : owner->name.value(),
-         asked.method,
-         http::find_header(asked.headers, "Host").value_or(""),
-         asked.target,
-         asked.body});
+         request.method,
+         http::find_header(request.headers, "Host").value_or(""),
+         request.target,
+         request.body});
 }
 
-auto router_core::hear_barred(const routing::barred_report& told, const std::string& told_by)
-    -> void
+auto router_core::apply_barred_report(
+    const routing::barred_report& reports, const std::string& source) -> void
 {
-    if (this->crashes.hear_barred(told, this->hooks.clock())) {
+    if (this->crashes.hear_barred(reports, this->hooks.clock())) {
         common::log(
             common::log_part::place,
             common::log_level::warning,
-            "request barred print=" + to_string(told.print) + " told_by=" + told_by);
+            "request barred print=" + to_string(reports.print) + " told_by=" + source);
     }
 }
 
-auto router_core::hear_limit(
+auto router_core::apply_limit(
     const routing::server_instance& server,
-    const server_directives& said,
+    const server_directives& directives,
     const std::string& attempt) -> void
 {
-    if (said.has_odd_limit && this->intake.limits().note_odd(server)) {
-        this->counters.count_server_word("limit_unreadable");
+    if (directives.has_malformed_limit && this->limiter.limits().note_odd(server)) {
+        this->counters.count_server_statement("limit_unreadable");
         common::log(
             common::log_part::members,
             common::log_level::warning,
-            "server's limit not readable server=" + to_string(server) + " request=" + attempt);
+            "server's limit is malformed server=" + to_string(server) + " request=" + attempt);
     }
-    if (!said.limit && said.has_odd_limit) {
+    if (!directives.limit && directives.has_malformed_limit) {
         return;
     }
     const auto now = this->hooks.clock();
-    const auto change = this->intake.limits().note(server, said.limit, now);
-    this->log_limit(change, to_string(server), said.limit, " request=" + attempt);
+    const auto change = this->limiter.limits().note(server, directives.limit, now);
+    this->log_limit(change, to_string(server), directives.limit, " request=" + attempt);
     const bool concerns_all =
         change == routing::limit_change::named || change == routing::limit_change::lifted;
-    if (concerns_all && now - this->limit_news_at >= this->options.limit_news_period) {
-        this->server_news += 1;
-        this->limit_news_at = now;
+    if (concerns_all && now - this->last_limit_report >= this->options.limit_report_interval) {
+        this->server_directive_changes += 1;
+        this->last_limit_report = now;
     }
 }
 
-auto router_core::hear_leaving(const routing::server_instance& server, const std::string& attempt)
+auto router_core::apply_leaving(const routing::server_instance& server, const std::string& attempt)
     -> void
 {
     const auto* known = this->servers.find(server.id);
@@ -130,34 +130,34 @@
         return;
     }
     this->servers.retire(server, this->hooks.clock());
-    this->server_news += 1;
-    this->counters.count_server_word("leaving");
+    this->server_directive_changes += 1;
+    this->counters.count_server_statement("leaving");
     common::log(
         common::log_part::members,
         common::log_level::info,
         "server leaving server=" + to_string(server) + " request=" + attempt);
 }
 
-auto router_core::give_rest(const routing::server_instance& server, std::chrono::milliseconds rest)
-    -> void
+auto router_core::apply_backoff(
+    const routing::server_instance& server, std::chrono::milliseconds rest) -> void
 {
-    // All entries are turned away in one moment; they do not come back in one.
+    // All entries are refused at the same moment; the random delay spreads their return.
     const auto more =
-        std::min(rest, this->options.returns_spread) * common::random_unit(this->hooks.random);
-    this->intake.note_rest(
+        std::min(rest, this->options.return_spread) * common::random_unit(this->hooks.random);
+    this->limiter.note_rest(
         server, this->hooks.clock() + rest + std::chrono::duration_cast<common::duration>(more));
-    this->counters.rests.add();
+    this->counters.backoffs.add();
 }
 
-auto router_core::hear_limits(
-    const std::vector<routing::limit_report>& told, const std::string& told_by) -> void
+auto router_core::apply_limit_reports(
+    const std::vector<routing::limit_report>& reports, const std::string& source) -> void
 {
-    for (const auto& one : told) {
-        const auto change = this->intake.limits().hear(one, this->hooks.clock());
+    for (const auto& one : reports) {
+        const auto change = this->limiter.limits().hear(one, this->hooks.clock());
         if (change != routing::limit_change::none) {
             const auto server = this->servers.find_named(one.server);
             const auto name = server ? to_string(*server) : "unknown";
-            this->log_limit(change, name, one.per_second, " told_by=" + told_by);
+            this->log_limit(change, name, one.per_second, " told_by=" + source);
         }
     }
 }
@@ -171,26 +171,26 @@
     if (change == routing::limit_change::none) {
         return;
     }
-    this->counters.count_server_word(per_second ? "limit" : "no_limit");
+    this->counters.count_server_statement(per_second ? "limit" : "no_limit");
     common::log(
         common::log_part::members,
         common::log_level::info,
-        "server takes server=" + server +
+        "server limit changed server=" + server +
             " per_second=" + (per_second ? std::to_string(*per_second) : "any") + source);
 }
 
-auto router_core::find_barred(const http::request& asked, const caller_request& caller)
+auto router_core::find_barred(const http::request& request, const caller_request& caller)
     -> std::optional<routing::request_fingerprint>
 {
     if (!this->crashes.has_barred()) {
         return std::nullopt;
     }
-    const auto print = this->print_of(asked, caller);
-    if (!this->crashes.is_barred(print)) {
+    const auto fingerprint = this->fingerprint_of(request, caller);
+    if (!this->crashes.is_barred(fingerprint)) {
         return std::nullopt;
     }
-    this->crashes.note_refused(print, this->hooks.clock());
-    return print;
+    this->crashes.note_refused(fingerprint, this->hooks.clock());
+    return fingerprint;
 }
 
 auto router_core::refuse(
@@ -205,26 +205,26 @@
         common::log_part::entry,
         common::log_level::info,
         "refused request=" + attempt + " why=" + name + logged);
-    out.send(own_answer(why, this->come_back_after(why.code)));
+    out.send(make_own_response(why, this->retry_after(why.code)));
 }
 
 auto router_core::hold(
-    http::request asked, std::shared_ptr<http::responder> out, time_point received) -> void
+    http::request request, std::shared_ptr<http::responder> out, time_point received) -> void
 {
-    const auto caller = read_caller_request(asked, this->options.names, received);
-    if (!caller || this->held.size() >= this->options.most_held) {
+    const auto caller = read_caller_request(request, this->options.names, received);
+    if (!caller || this->held.size() >= this->options.max_held) {
         this->refuse(
             caller ? common::make_error(common::result_code::not_ready) : caller.error(),
             "-",
             *out);
         return;
     }
-    const auto limit = std::chrono::duration_cast<common::duration>(this->options.start_hold);
+    const auto limit = std::chrono::duration_cast<common::duration>(this->options.startup_hold);
     const auto wait = caller->deadline == common::never
                           ? limit
                           : std::min(limit, (caller->deadline - received) / 3);
     const auto one = std::make_shared<held_request>();
-    one->asked = std::move(asked);
+    one->request = std::move(request);
     one->out = std::move(out);
     one->received = received;
     one->out->on_disconnect([weak = std::weak_ptr<held_request>(one)] {
@@ -235,39 +235,39 @@
     this->held.push_back(one);
     this->hooks.timer(received + wait, [weak = this->weak_from_this(), one] {
         if (const auto self = weak.lock()) {
-            self->give_back(one);
+            self->refuse_held(one);
         }
     });
 }
 
-auto router_core::give_back(const std::shared_ptr<held_request>& one) -> void
+auto router_core::refuse_held(const std::shared_ptr<held_request>& one) -> void
 {
     if (std::erase(this->held, one) > 0) {
         this->refuse(common::make_error(common::result_code::not_ready), "-", *one->out);
     }
 }
 
-auto router_core::await_barred(bool should_wait) -> void
+auto router_core::set_awaiting_barred(bool should_wait) -> void
 {
-    this->awaits_barred = should_wait;
-    this->serve_held();
+    this->is_awaiting_barred = should_wait;
+    this->handle_held();
 }
 
-auto router_core::serve_held() -> void
+auto router_core::handle_held() -> void
 {
     if (!this->is_ready()) {
         return;
     }
     for (const auto& one : std::exchange(this->held, {})) {
-        // A request whose caller has left must reach no server.
+        // A request must not be sent to a server after its caller has disconnected.
         if (!one->has_left) {
-            this->handle_at(std::move(one->asked), one->out, one->received);
+            this->handle_at(std::move(one->request), one->out, one->received);
         }
         one->out.reset();
     }
 }
 
-auto router_core::end_all() -> void
+auto router_core::end_all_requests() -> void
 {
     for (const auto& one : std::exchange(this->held, {})) {
         this->refuse(common::make_error(common::result_code::shutting_down), "-", *one->out);
@@ -281,29 +281,29 @@
     }
 }
 
-auto router_core::come_back_after(common::result_code why) const -> std::chrono::milliseconds
+auto router_core::retry_after(common::result_code why) const -> std::chrono::milliseconds
 {
     if (why == common::result_code::not_ready) {
-        return this->options.come_back_when_ready;
+        return this->options.retry_after_not_ready;
     }
     if (why == common::result_code::ends_servers) {
-        // Sooner it is refused again, and remembered for longer.
+        // A request that returns sooner is refused again, and stays barred for longer.
         return this->options.crashes.remembered;
     }
-    const auto usual = this->options.come_back_after;
-    if (why != common::result_code::shutting_down || !this->hooks.served_elsewhere_at) {
+    const auto usual = this->options.retry_after;
+    if (why != common::result_code::shutting_down || !this->hooks.accepted_elsewhere_at) {
         return usual;
     }
     const auto now = this->hooks.clock();
-    const auto wait = this->hooks.served_elsewhere_at(now) - now;
+    const auto wait = this->hooks.accepted_elsewhere_at(now) - now;
     return std::max(usual, std::chrono::duration_cast<std::chrono::milliseconds>(wait));
 }
 
-auto router_core::check(const http::request& asked, const caller_request& caller) const
+auto router_core::check(const http::request& request, const caller_request& caller) const
     -> common::result<const routing::route*>
 {
-    const auto host = http::find_header(asked.headers, "Host").value_or("");
-    const auto* found = this->rules_in_force->find(host, asked.target);
+    const auto host = http::find_header(request.headers, "Host").value_or("");
+    const auto* found = this->rules_in_force->find(host, request.target);
     if (found == nullptr) {
         return common::failure(common::result_code::unknown_path);
     }
@@ -313,7 +313,7 @@
     }
     const bool has_small_model = !found->models.empty() && caller.model == any_model;
     const auto token =
-        has_small_model ? this->options.small_token_needs : this->options.token_needs;
+        has_small_model ? this->options.small_model_token_time : this->options.token_time;
     if (this->should_go_elsewhere(*found) || !this->may_finish(*found, caller, token)) {
         return common::failure(common::result_code::shutting_down);
     }
@@ -324,7 +324,7 @@
 {
     const auto now = this->hooks.clock();
     const bool is_late = on.kind == routing::request_kind::stream && now >= this->streams_until;
-    const auto& elsewhere = this->hooks.served_elsewhere_at;
+    const auto& elsewhere = this->hooks.accepted_elsewhere_at;
     return is_late && elsewhere && elsewhere(now) <= now;
 }
 
@@ -335,19 +335,19 @@
     if (this->ends_at == common::never) {
         return true;
     }
-    auto needs = this->options.start_needs;
+    auto needs = this->options.base_time;
     if (on.kind == routing::request_kind::stream) {
-        needs += token * static_cast<std::int64_t>(caller.most_answer_tokens);
-        // Where callers wait, each token takes longer too.
+        needs += token * static_cast<std::int64_t>(caller.max_answer_tokens);
+        // If callers wait, each token takes longer too.
         const auto slowed = static_cast<double>(needs.count()) * (1.0 + this->waits.level());
         needs = std::min(
             std::chrono::milliseconds{static_cast<std::int64_t>(slowed)},
-            this->options.longest_need);
+            this->options.max_time_needed);
     }
     return this->hooks.clock() + std::min(needs, on.timeout) <= this->ends_at;
 }
 
-auto router_core::adopt(published_rules rules) -> bool
+auto router_core::apply_rules(published_rules rules) -> bool
 {
     const bool is_old =
         this->rules_in_force != nullptr && rules.rules.version <= this->rules_in_force->version();
@@ -364,13 +364,13 @@
     if (this->hooks.on_rules) {
         this->hooks.on_rules(this->rules_in_force->rules());
     }
-    this->serve_held();
+    this->handle_held();
     return true;
 }
 
 auto router_core::is_ready() const -> bool
 {
-    return this->rules_in_force != nullptr && this->servers.size() > 0 && !this->awaits_barred;
+    return this->rules_in_force != nullptr && this->servers.size() > 0 && !this->is_awaiting_barred;
 }
 
 auto router_core::retries_of(const common::service_name& service) -> placement::retry_budget&
@@ -409,7 +409,7 @@
            std::chrono::milliseconds{static_cast<std::int64_t>(longest)};
 }
 
-auto own_answer(const common::error& why, std::chrono::milliseconds come_back_after)
+auto make_own_response(const common::error& why, std::chrono::milliseconds retry_after)
     -> http::response
 {
     auto answer = http::problem_answer(why);
@@ -420,7 +420,7 @@
             seconds.data(),
             seconds.size(),
             "%.3f",
-            std::chrono::duration<double>(come_back_after).count());
+            std::chrono::duration<double>(retry_after).count());
         answer.headers.push_back({"Retry-After", seconds.data()});
     }
     return answer;
--- a/source/core/router/router_core.hpp
+++ b/source/core/router/router_core.hpp
@@ -33,23 +33,23 @@
 
 namespace reedramp::router {
 
-/// What varies between a daemon and a test.
+/// Hooks that differ between the program and tests.
 struct router_hooks {
     common::clock_hook clock;
     common::timer_hook timer;
     common::random_hook random;
-    /// New rules are in force. May be empty.
+    /// Called when new rules are in force. May be empty.
     std::function<auto(const routing::configuration& rules)->void> on_rules = {};
-    /// The store has come back from an older copy of itself: the entries' own records may be gone.
-    /// May be empty.
+    /// Called when the store was restored from an older copy of itself: the entries' records may be
+    /// gone. May be empty.
     std::function<auto()->void> on_new_era = {};
-    /// This entry's place among all, as far as it knows of them. Empty: it is alone.
-    std::function<auto()->routing::entry_rank> place = {};
-    /// When another entry, or this one's next process, takes requests that this process can't
-    /// finish any more. Empty: at once.
-    std::function<auto(time_point now)->time_point> served_elsewhere_at = {};
-    /// Milliseconds since 1970 by this host, for a look at the starts that servers name. Empty: no
-    /// start is taken for one of the future.
+    /// Returns this entry's rank among all entries that it knows. Empty if it is the only one.
+    std::function<auto()->routing::entry_rank> rank = {};
+    /// Returns when another entry, or this host's next process, accepts requests that this process
+    /// can't finish any more. Empty means at once.
+    std::function<auto(time_point now)->time_point> accepted_elsewhere_at = {};
+    /// Returns milliseconds since 1970 by this host's clock, to detect server start times in the
+    /// future. If empty, no start time counts as one of the future.
     std::function<auto()->std::uint64_t> unix_ms = {};
 };
 
@@ -59,118 +59,119 @@
     /// The region of each data centre.
     routing::region_map regions;
     routing::choice_options choice;
-    routing::server_limiter_options intake;
+    routing::server_limiter_options limiter;
     routing::freshness_options freshness;
     routing::health_options health;
     routing::crash_options crashes;
     routing::rollout_options rollout;
     routing::model_options models;
     placement::retry_budget_settings retries;
-    /// Sends of one request, refused ones included. A refusal costs a round trip, and a service
-    /// whose servers all refuse is full.
-    unsigned most_sends = 4;
-
-    /// Time that a request needs to be taken by a process that ends: a start, as long as nearly all
-    /// plain requests and first events take, and for a stream its tokens, at the pace of the
-    /// largest model under load, or of the smallest one. All of it grows with callers' waits. More
-    /// than `longest_need` is not asked for: the balancer sends requests for so long, and what is
-    /// cut then can be resumed.
-    std::chrono::milliseconds start_needs{1500};
-    std::chrono::milliseconds token_needs{15};
-    std::chrono::milliseconds small_token_needs{8};
-    std::chrono::milliseconds longest_need{5200};
-    /// The longest answer that is gathered before it is passed on. Longer ones come from a server
-    /// that does not end; some of them at once would take all memory.
-    std::size_t longest_answer = 8UL * 1024UL * 1024UL;
-    /// A caller that was refused comes back after this; about the time in which a server finishes
-    /// a short request.
-    std::chrono::milliseconds come_back_after{250};
-    /// The same from an entry that has no rules or servers yet: as a rule the store is away then,
-    /// for some seconds, and who comes back sooner is refused again.
-    std::chrono::milliseconds come_back_when_ready{2000};
-    /// An entry that has just started holds requests for so long until it has rules and servers, or
-    /// for a third of the time that the caller has: after a kill most come with their last try. The
-    /// store is away then for some seconds as a rule.
-    std::chrono::milliseconds start_hold{2000};
-    /// More than come in that time; at some 12 KB each they take 6 MB.
-    std::size_t most_held = 512;
-    /// Servers of a data centre that is taken back count as cold for so long: until they have said
-    /// how they are, which they do each 1.2 s, and it has been read, at the latest 2.4 s later.
-    std::chrono::milliseconds warmth_unknown{3500};
-    /// A request waits for so long for a turn at a cold server, where there are no others: longer
-    /// than most waits for one, and shorter than what callers take for silence.
-    std::chrono::milliseconds turn_patience{500};
-    /// Callers that were refused since no server takes requests return within this after the first
-    /// one does again, and so do entries that a server asked for rest; all at once they would fill
-    /// it.
-    std::chrono::milliseconds returns_spread{1000};
-    /// What servers name in their answers is told to all entries at once so often at the most. A
-    /// server whose answers name a limit by turns must not keep all entries talking.
-    std::chrono::milliseconds limit_news_period{2000};
-    /// A stream that stays silent for this many of its longest good pauses goes on elsewhere.
-    double stalled_after_pauses = 1.5;
-    /// So does one that waits for its first event for this many times the route's mean, and for
-    /// `first_event_patience` more. Measured against the others' time, since under load all wait,
-    /// and work that is begun anew elsewhere would add to it.
+    /// Maximum sends of one request, refused ones included. A refusal costs a round trip, and a
+    /// service whose servers all refuse is full.
+    unsigned max_sends = 4;
+
+    /// Time that must remain for a request to be accepted by a process that is ending: the base
+    /// time, within which nearly all plain requests and first events complete, and for a stream the
+    /// time of its tokens at the speed of the largest model under load, or of the smallest one. The
+    /// sum grows with callers' waits, up to `max_time_needed`: the balancer keeps sending requests
+    /// until then, and a stream that is cut can be resumed.
+    std::chrono::milliseconds base_time{1500};
+    std::chrono::milliseconds token_time{15};
+    std::chrono::milliseconds small_model_token_time{8};
+    std::chrono::milliseconds max_time_needed{5200};
+    /// Longest response that is buffered before it is forwarded. A longer one comes from a server
+    /// that never finishes; some of them at once would use up all memory.
+    std::size_t max_buffered_response = 8UL * 1024UL * 1024UL;
+    /// Retry-After of a refusal: about the time in which a server finishes a short request.
+    std::chrono::milliseconds retry_after{250};
+    /// Retry-After of an entry that has no rules or servers yet. Usually the store is unavailable
+    /// then for some seconds, and a caller that returns sooner is refused again.
+    std::chrono::milliseconds retry_after_not_ready{2000};
+    /// How long an entry without rules or servers holds requests, at most a third of the caller's
+    /// remaining time. After a process was killed, most callers come with their last attempt.
+    /// Usually the store is unavailable then for some seconds.
+    std::chrono::milliseconds startup_hold{2000};
+    /// Maximum held requests. More than arrive in that time; at some 12 KB each they take 6 MB.
+    std::size_t max_held = 512;
+    /// Servers of a data centre whose evacuation is revoked count as cold for this long. Servers
+    /// report their state every 1.2 s, and it is read at most 2.4 s later.
+    std::chrono::milliseconds cold_after_evacuation{3500};
+    /// How long a request waits for a send slot if the service has only cold or limited servers:
+    /// longer than most waits, and shorter than what callers take for an unresponsive service.
+    std::chrono::milliseconds send_slot_wait{500};
+    /// Random spread of returns. Callers that were refused because no server accepted requests
+    /// return within this time after the first server accepts again, and so do entries that a
+    /// server asked to back off. All at once they would overload it.
+    std::chrono::milliseconds return_spread{1000};
+    /// Minimum interval between immediate reports of limits to all entries. A server that
+    /// alternates between stating and omitting a limit must not keep all entries sending.
+    std::chrono::milliseconds limit_report_interval{2000};
+    /// A stream is resumed at another server after a silence of this many times its route's longest
+    /// normal pause.
+    double stall_pause_factor = 1.5;
+    /// So is a stream that waits for its first event longer than this many times the route's mean
+    /// plus `first_event_patience`. The limit is relative to other streams, since under load all
+    /// wait, and restarted work would add to the load.
     double first_event_factor = 5.0;
     std::chrono::milliseconds first_event_patience{700};
-    /// And one with much work before its first event for this many times what such work takes at
-    /// servers of that service. The largest prompts take the largest model seconds to read; left
-    /// like a short one, each was begun at three servers and finished at none.
+    /// The limit is at least this many times the duration of the work before its first event at the
+    /// servers of its service. The largest prompts take the largest model seconds to process; with
+    /// the limit of short ones, each was started at three servers and finished at none.
     double first_event_work_factor = 3.0;
 };
 
 class relay;
 
-/// What all requests of an entry share, on one thread: the rules in force, the servers, what is
-/// under way, and what is known of versions.
+/// State that all requests of an entry share: the rules in force, the servers, the requests in
+/// flight, and what is known of versions. Used from one thread.
 class router_core : public std::enable_shared_from_this<router_core> {
 public:
     router_core(
         router_hooks hooks, router_options options, std::shared_ptr<http::client> to_servers);
 
-    /// Takes a caller's request and sees to its answer.
-    auto handle(http::request asked, std::shared_ptr<http::responder> out) -> void;
+    /// Handles a caller's request. `out` gets exactly one response.
+    auto handle(http::request request, std::shared_ptr<http::responder> out) -> void;
 
-    /// Whether requests wait until it is known which of them end servers.
-    auto await_barred(bool should_wait) -> void;
+    /// Sets whether requests wait until the barred requests are known.
+    auto set_awaiting_barred(bool should_wait) -> void;
 
-    /// Rules or servers have come: takes the requests that waited for them.
-    auto serve_held() -> void;
+    /// Handles the held requests if the entry is ready now. Called when rules or servers have
+    /// arrived.
+    auto handle_held() -> void;
 
-    /// The process will end at `last`: requests that may take longer than is left are refused, so
-    /// that their callers go elsewhere in time.
+    /// Announces that the process ends at `last`. Requests that may take longer are refused, so
+    /// that their callers go to another entry in time.
     ///
-    /// Streams are taken until `streams_until` where another entry takes them: the balancer has
-    /// noticed by then. A stream's end can't be known; short ones that were taken later waited at
-    /// busy servers for all the time that was left, and were cut when the process ended.
-    auto leave(time_point last, time_point streams_until = common::never) -> void
+    /// Where another entry accepts them, streams are accepted only until `streams_until`, when the
+    /// balancer has noticed. The end of a stream can't be predicted: short ones accepted later
+    /// waited at busy servers for all the remaining time and were cut when the process ended.
+    auto announce_end(time_point last, time_point streams_until = common::never) -> void
     {
         this->ends_at = last;
         this->streams_until = streams_until;
     }
 
-    /// When the process ends at the latest; `never` while it stays.
-    [[nodiscard]] auto leaves_at() const -> time_point { return this->ends_at; }
+    /// Latest end of the process; `never` while it stays.
+    [[nodiscard]] auto process_ends_at() const -> time_point { return this->ends_at; }
 
-    /// The store has answered, to this entry or to the one that tells of it, in the era of this
-    /// position. What an older one told changes nothing.
-    auto note_era(stream_position seen, const std::string& told_by) -> void;
+    /// Notes the era of a position seen in the store by this entry, or by the entry that reported
+    /// it. Older eras change nothing.
+    auto note_era(stream_position seen, const std::string& source) -> void;
 
-    /// 0 before any is known, and of a store that says none.
-    [[nodiscard]] auto era() const -> std::uint64_t { return this->known_era.value_or(0); }
+    /// Era of the store; 0 before one is known, and for a store without eras.
+    [[nodiscard]] auto era() const -> std::uint64_t { return this->store_era.value_or(0); }
 
-    /// Puts rules in force unless newer ones are. True when they are new.
-    auto adopt(published_rules rules) -> bool;
+    /// Puts rules in force unless the present ones are as new. Returns whether they were new.
+    auto apply_rules(published_rules rules) -> bool;
 
-    /// Rules and servers are known: requests can be served.
+    /// Whether requests can be served: rules, servers and barred requests are known.
     [[nodiscard]] auto is_ready() const -> bool;
 
-    /// A stream of the route had its first event after `took`.
+    /// Records the time that a stream of the route took until its first event.
     auto note_first_event(const routing::route_name& route, std::chrono::milliseconds took) -> void;
 
-    /// How long a stream of the route may wait for its first event before it goes elsewhere, when
-    /// such work takes `usual` at that service.
+    /// How long a stream of the route may wait for its first event before it is sent to another
+    /// server, if such work takes `usual` at that service.
     [[nodiscard]] auto
     first_event_limit(const routing::route_name& route, std::chrono::milliseconds usual) const
         -> std::chrono::milliseconds;
@@ -180,131 +181,140 @@
         return this->rules_in_force;
     }
 
-    /// 0 without rules.
+    /// Version of the rules in force; 0 without rules.
     [[nodiscard]] auto rules_version() const -> std::uint64_t
     {
         return this->rules_in_force == nullptr ? 0 : this->rules_in_force->version();
     }
 
-    /// The text of the rules in force, for peers that lack them.
+    /// Source text of the rules in force, for peers that lack them.
     [[nodiscard]] auto rules_text() const -> const std::string& { return this->text_in_force; }
 
-    /// The budget of second sends to a service. Each has its own: one service's trouble must not
-    /// spend what another one's requests have saved up.
+    /// Retry budget of a service. Each service has its own, so that failures of one do not use up
+    /// the retries of another.
     auto retries_of(const common::service_name& service) -> placement::retry_budget&;
 
-    /// The settings have changed.
+    /// Applies changed settings to all retry budgets.
     auto change_retries(placement::retry_budget_settings settings) -> void;
 
-    /// The data centres that are evacuated, as the store or another entry knows it.
-    auto learn_evacuations(const routing::evacuation_report& known, const std::string& told_by)
+    /// Applies the complete set of evacuated data centres, from the store or another entry.
+    auto replace_evacuations(const routing::evacuation_report& known, const std::string& source)
         -> void;
 
-    /// The operators' orders that a reading gave behind this entry's last one.
-    auto
-    follow_evacuations(const std::vector<routing::evacuation_order>& orders, stream_position end)
-        -> void;
+    /// Applies the operators' orders that a reading returned after this entry's last one.
+    auto apply_evacuation_orders(
+        const std::vector<routing::evacuation_order>& orders, stream_position end) -> void;
 
-    /// Grows with each change of who is evacuated.
-    [[nodiscard]] auto evacuations_changed() const -> std::uint64_t
+    /// Counter that grows with each change of the evacuated data centres.
+    [[nodiscard]] auto evacuation_revision() const -> std::uint64_t
     {
-        return this->evacuation_changes;
+        return this->evacuation_change_count;
     }
 
-    /// Requests that have no final answer yet.
-    [[nodiscard]] auto under_way() const -> std::size_t { return this->open_requests.size(); }
+    /// Number of requests without a final response.
+    [[nodiscard]] auto in_flight() const -> std::size_t { return this->open_requests.size(); }
 
-    /// The process ends now: gives every request that is still open its final answer. A caller
-    /// whose connection closed without one learns nothing, and loses the time until it tries again.
-    auto end_all() -> void;
+    /// Gives every open request its final response, as the process ends now. A caller whose
+    /// connection closes without a response learns nothing, and loses time until it retries.
+    auto end_all_requests() -> void;
 
-    /// Another entry, or the store, knows that a request ends servers.
-    auto hear_barred(const routing::barred_report& told, const std::string& told_by) -> void;
+    /// Applies a barred request reported by another entry or read from the store.
+    auto apply_barred_report(const routing::barred_report& reports, const std::string& source)
+        -> void;
 
-    /// A server names its limit in its answer to the attempt, or names none any more.
-    auto hear_limit(
+    /// Applies the limit that a server stated in its response to the attempt, or that it states
+    /// none any more.
+    auto apply_limit(
         const routing::server_instance& server,
-        const server_directives& said,
+        const server_directives& directives,
         const std::string& attempt) -> void;
 
-    /// A server has said in its answer to the attempt that it leaves.
-    auto hear_leaving(const routing::server_instance& server, const std::string& attempt) -> void;
+    /// Applies a server's statement in its response to the attempt that it leaves.
+    auto apply_leaving(const routing::server_instance& server, const std::string& attempt) -> void;
 
-    /// A server wants nothing from this entry for so long.
-    auto give_rest(const routing::server_instance& server, std::chrono::milliseconds rest) -> void;
-
-    /// A peer has read this in servers' answers.
-    auto hear_limits(const std::vector<routing::limit_report>& told, const std::string& told_by)
+    /// Applies a server's request that this entry send nothing for `rest`.
+    auto apply_backoff(const routing::server_instance& server, std::chrono::milliseconds rest)
         -> void;
 
-    /// Grows when a server says in an answer to this entry what all have to know at once: that it
-    /// leaves, or names a limit or takes it back, of these at most once in `limit_news_period`.
-    [[nodiscard]] auto words_of_servers() const -> std::uint64_t { return this->server_news; }
+    /// Applies limits that a peer has read in servers' responses.
+    auto apply_limit_reports(
+        const std::vector<routing::limit_report>& reports, const std::string& source) -> void;
 
-    /// What tells the request from others, whatever its attempt id.
-    [[nodiscard]] auto print_of(const http::request& asked, const caller_request& caller) const
+    /// Counter that grows when a server states in a response to this entry what all entries must
+    /// learn at once: that it leaves, or a limit that is new or lifted. Changes of limits count at
+    /// most once per `limit_report_interval`.
+    [[nodiscard]] auto server_directive_revision() const -> std::uint64_t
+    {
+        return this->server_directive_changes;
+    }
+
+    /// Fingerprint of the request's contents, which does not depend on the attempt id.
+    [[nodiscard]] auto
+    fingerprint_of(const http::request& request, const caller_request& caller) const
         -> routing::request_fingerprint;
 
-    /// The process will end before a larger model's answer would; the smallest one's has to do.
+    /// Whether the process ends before a larger model's answer could finish, so that the smallest
+    /// model's answer must be accepted.
     [[nodiscard]] auto must_be_quick(const routing::route& on, const caller_request& caller) const
         -> bool
     {
-        return !this->may_finish(on, caller, this->options.token_needs);
+        return !this->may_finish(on, caller, this->options.token_time);
     }
 
-    // Shared with the requests; on the same thread.
+    // Shared with the requests, on the same thread.
     router_hooks hooks;
     router_options options;
     std::shared_ptr<http::client> client;
     routing::server_table servers;
     routing::list_freshness freshness;
     routing::load_tracker loads;
-    /// By service: what a unit of work takes differs between services by far more than within one.
-    std::map<common::service_name, routing::server_speed_tracker> paces;
+    /// By service, since the time per unit of work differs far more between services than within
+    /// one.
+    std::map<common::service_name, routing::server_speed_tracker> speeds;
     routing::server_health health;
-    routing::server_limiter intake;
+    routing::server_limiter limiter;
     routing::evacuation_registry evacuations;
     routing::crash_tracker crashes;
     routing::rollout_guide rollouts;
     metrics::registry series;
     routing::wait_gauge waits;
     router_metrics counters;
-    /// Requests that have no final answer yet; each enters and leaves by itself.
+    /// Requests without a final response. Each adds and removes itself.
     std::set<relay*> open_requests;
 
 private:
-    /// A request that came before there were rules and servers.
+    /// A request that arrived before the entry was ready.
     struct held_request {
-        http::request asked;
+        http::request request;
         std::shared_ptr<http::responder> out;
         time_point received;
         bool has_left = false;
     };
 
-    auto handle_at(http::request asked, std::shared_ptr<http::responder> out, time_point received)
+    auto handle_at(http::request request, std::shared_ptr<http::responder> out, time_point received)
         -> void;
-    auto hold(http::request asked, std::shared_ptr<http::responder> out, time_point received)
+    auto hold(http::request request, std::shared_ptr<http::responder> out, time_point received)
         -> void;
-    auto give_back(const std::shared_ptr<held_request>& one) -> void;
-    /// `logged` follows in the log's line.
+    auto refuse_held(const std::shared_ptr<held_request>& one) -> void;
+    /// Refuses the request. `logged` is appended to the log line.
     auto refuse(
         const common::error& why,
         const std::string& attempt,
         http::responder& out,
         const std::string& logged = {}) -> void;
-    /// Whether a request can end before the process does, if each of its tokens takes `token`.
+    /// Whether a request can finish before the process ends if each of its tokens takes `token`.
     [[nodiscard]] auto may_finish(
         const routing::route& on,
         const caller_request& caller,
         std::chrono::milliseconds token) const -> bool;
-    /// Whether a request of the route should go to another entry, since this one leaves.
+    /// Whether a request of the route should go to another entry because this one leaves.
     [[nodiscard]] auto should_go_elsewhere(const routing::route& on) const -> bool;
-    /// When a caller that is refused for `why` should come back.
-    [[nodiscard]] auto come_back_after(common::result_code why) const -> std::chrono::milliseconds;
-    /// The request's print if it ends the servers that run it.
-    auto find_barred(const http::request& asked, const caller_request& caller)
+    /// Time after which a caller that is refused for `why` should return.
+    [[nodiscard]] auto retry_after(common::result_code why) const -> std::chrono::milliseconds;
+    /// Returns the request's fingerprint if it is barred because it crashes servers.
+    auto find_barred(const http::request& request, const caller_request& caller)
         -> std::optional<routing::request_fingerprint>;
-    auto check(const http::request& asked, const caller_request& caller) const
+    auto check(const http::request& request, const caller_request& caller) const
         -> common::result<const routing::route*>;
 
     auto log_limit(
@@ -312,27 +322,27 @@
         const std::string& server,
         std::optional<double> per_second,
         const std::string& source) const -> void;
-    auto on_evacuations(const routing::evacuation_change& changed, const std::string& told_by)
+    auto on_evacuation_change(const routing::evacuation_change& changed, const std::string& source)
         -> void;
 
     std::vector<std::shared_ptr<held_request>> held;
-    std::uint64_t evacuation_changes = 0;
-    std::uint64_t server_news = 0;
-    time_point limit_news_at{};
+    std::uint64_t evacuation_change_count = 0;
+    std::uint64_t server_directive_changes = 0;
+    time_point last_limit_report{};
     std::shared_ptr<const routing::route_table> rules_in_force;
     std::string text_in_force;
-    std::optional<std::uint64_t> known_era;
-    bool awaits_barred = false;
+    std::optional<std::uint64_t> store_era;
+    bool is_awaiting_barred = false;
     time_point ends_at = common::never;
     time_point streams_until = common::never;
     std::map<common::service_name, placement::retry_budget> retries;
-    /// Mean time to the first event in ms, newest weighted most.
+    /// Exponentially weighted mean time to the first event, in milliseconds.
     std::map<routing::route_name, double> first_event_ms;
 };
 
-/// An answer of our own for a request that is refused or failed. One that has not run says when to
-/// come back.
-auto own_answer(const common::error& why, std::chrono::milliseconds come_back_after)
+/// Builds the response of this entry to a request that was refused or has failed. If the request
+/// has not run, the response states when to return.
+auto make_own_response(const common::error& why, std::chrono::milliseconds retry_after)
     -> http::response;
 
 } // namespace reedramp::router
--- a/source/core/router/router_metrics.cpp
+++ b/source/core/router/router_metrics.cpp
@@ -4,44 +4,48 @@
 
 namespace {
 
-/// From a millisecond to two minutes, ten buckets for each factor of ten.
+/// From one millisecond to two minutes, with ten buckets per factor of ten.
 constexpr metrics::histogram_range milliseconds_range{1.0, 1.2e5, 10};
 
 } // namespace
 
 router_metrics::router_metrics(metrics::registry& registry)
-    : all(registry), requests(registry.counter_of("router_requests_total", "Requests of callers.")),
+    : all(registry),
+      requests(registry.counter_of("router_requests_total", "Requests received from callers.")),
       sends(registry.counter_of("router_sends_total", "Requests sent to backend servers.")),
       resumed(registry.counter_of(
-          "router_resumed_total", "Streams that went on at another server in their midst.")),
+          "router_resumed_total", "Streams that were resumed at another server before their end.")),
       larger_models(registry.counter_of(
-          "router_larger_models_total", "Answers dropped for a larger model's.")),
+          "router_larger_models_total", "Answers discarded to ask a larger model.")),
       first_event_ms(registry.histogram_of(
           "router_first_event_ms",
-          "From a request to its first event, in ms.",
+          "Time from receiving a request to its first event, in ms.",
           {},
           milliseconds_range)),
       answer_ms(registry.histogram_of(
-          "router_answer_ms", "From a request to its end, in ms.", {}, milliseconds_range)),
-      under_way(registry.gauge_of("router_under_way", "Requests without a final answer.")),
+          "router_answer_ms",
+          "Time from receiving a request to its end, in ms.",
+          {},
+          milliseconds_range)),
+      in_flight(registry.gauge_of("router_under_way", "Requests without a final response.")),
       barred(registry.counter_of(
           "router_barred_total",
-          "Requests found to end the servers that run them, and sent to none from then on.")),
-      turn_waits(registry.counter_of(
+          "Requests found to crash the servers that run them, and refused from then on.")),
+      slot_waits(registry.counter_of(
           "router_turn_waits_total",
-          "Requests that waited for a turn at a server that is cold or has named a limit.")),
-      rests(registry.counter_of(
-          "router_rests_total", "Refusals with which a server asked this entry for rest.")),
+          "Requests that waited for a send slot of a server that is cold or has a limit.")),
+      backoffs(registry.counter_of(
+          "router_rests_total", "Refusals in which a server asked this entry to back off.")),
       evacuated(
           registry.gauge_of("router_evacuated_data_centres", "Data centres that are evacuated.")),
-      store_returns(registry.counter_of(
+      store_restores(registry.counter_of(
           "router_store_returns_total",
-          "Times that the store was found to have come back from an older copy of itself.")),
-      list_questions(registry.counter_of(
+          "Times that the store was found to be restored from an older copy of itself.")),
+      list_queries(registry.counter_of(
           "router_list_questions_total",
-          "Questions to neighbours for missing changes of the servers' list.")),
+          "Queries to neighbours for missing changes of the server list.")),
       list_rejected(registry.counter_of(
-          "router_list_rejected_total", "News of the servers' list that were not taken."))
+          "router_list_rejected_total", "Server list updates that were rejected."))
 {
 }
 
@@ -72,12 +76,12 @@
         .add(records);
 }
 
-auto router_metrics::count_server_word(const std::string& what) const -> void
+auto router_metrics::count_server_statement(const std::string& what) const -> void
 {
     this->all
         .counter_of(
             "router_server_words_total",
-            "Words of backend servers that changed what is believed of them, or were not believed.",
+            "Statements of backend servers that changed their known state, or were rejected.",
             {{"what", what}})
         .add();
 }
--- a/source/core/router/router_metrics.hpp
+++ b/source/core/router/router_metrics.hpp
@@ -7,7 +7,7 @@
 
 namespace reedramp::router {
 
-/// The series of a router's core; docs/OPERATIONS.md has them in a table.
+/// Metric series of the router core; docs/OPERATIONS.md lists them in a table.
 struct router_metrics {
     explicit router_metrics(metrics::registry& all);
 
@@ -18,32 +18,33 @@
     metrics::counter& larger_models;
     metrics::histogram& first_event_ms;
     metrics::histogram& answer_ms;
-    metrics::gauge& under_way;
-    /// Requests that this entry has found to end servers.
+    metrics::gauge& in_flight;
+    /// Requests that this entry found to crash servers.
     metrics::counter& barred;
-    /// Requests that waited for a turn at a server that is cold or has named a limit.
-    metrics::counter& turn_waits;
-    /// Refusals with which a server asked this entry for rest.
-    metrics::counter& rests;
-    /// Data centres that are evacuated.
+    /// Requests that waited for a send slot of a server that is cold or has a limit.
+    metrics::counter& slot_waits;
+    /// Refusals in which a server asked this entry to back off.
+    metrics::counter& backoffs;
+    /// Number of evacuated data centres.
     metrics::gauge& evacuated;
-    /// Times that the store came back from an older copy of itself.
-    metrics::counter& store_returns;
-    /// Questions to neighbours for what is missing of the servers' list.
-    metrics::counter& list_questions;
-    /// News of the list from neighbours that were none, or lay ahead of the store.
+    /// Times that the store was restored from an older copy of itself.
+    metrics::counter& store_restores;
+    /// Queries to neighbours for missing changes of the server list.
+    metrics::counter& list_queries;
+    /// Updates of the server list from neighbours that were malformed, or ahead of the store.
     metrics::counter& list_rejected;
 
-    /// A request's end, by result: "served", the name of a result code, or "caller_left".
+    /// Counts the end of a request by result: "served", the name of a result code, or
+    /// "caller_left".
     auto count_end(const std::string& result) const -> void;
 
-    /// A word of a backend server that changed what is believed of it, or that can't be believed.
-    auto count_server_word(const std::string& what) const -> void;
+    /// Counts a statement of a backend server that changed its known state, or was rejected.
+    auto count_server_statement(const std::string& what) const -> void;
 
-    /// A call to the platform's store; each is paid for.
+    /// Counts a call to the platform's store. Each is billed.
     auto count_store_call(const std::string& call) const -> void;
 
-    /// Records of one of the product's own streams that could not be read.
+    /// Counts unreadable records of one of this product's own streams.
     auto count_skipped(const std::string& stream, std::size_t records) const -> void;
 };
 
