--- a/source/unit_tests/router/new_era_test.cpp
+++ b/source/unit_tests/router/new_era_test.cpp
@@ -1,114 +1,116 @@
 #include <catch2/catch.hpp>
 
-#include "held_store.hpp"
+#include "queued_store.hpp"
 #include "router/rules_follower.hpp"
 
 namespace reedramp::router::testing {
 
 using common::result_code;
 
-TEST_CASE("what an older copy lacks of servers is kept for two seconds", "[new_era]")
+TEST_CASE("servers that an older copy lacks are kept for two seconds", "[new_era]")
 {
-    // The store was away too short a time for anybody to see it, and came back from a copy of
-    // before server "b" registered. The server writes again each 1.2 s; taken out at once, it would
-    // be missing until then. One that does not come back is gone after that.
-    world all;
-    held_store store;
-    follow_servers(all, store, {"a", "b"});
-    all.advance(seconds{1});
-    held_store::take(store.servers)
+    // The store was unavailable too briefly to be noticed, and was restored from a copy made before
+    // server "b" registered. Servers register again every 1.2 s; if removed at once, "b" would be
+    // missing until then. A server that does not register again is removed after that.
+    router_fixture fixture;
+    queued_store store;
+    follow_servers(fixture, store, {"a", "b"});
+    fixture.advance(seconds{1});
+    queued_store::next_call(store.servers)
         .second(fails<routing::registration_change>(result_code::log_trimmed));
-    auto copy = reading<routing::registration_change>({registration_of("a")}, 0, true);
+    auto copy = reading<routing::registration_change>({make_registration_change("a")}, 0, true);
     copy.end = stream_position::at(1, 1);
-    held_store::take(store.servers).second(copy);
-    const auto is_used = [&all](const char* id) {
-        return all.core->servers.find(common::server_id{id}) != nullptr;
+    queued_store::next_call(store.servers).second(copy);
+    const auto is_used = [&fixture](const char* id) {
+        return fixture.core->servers.find(common::server_id{id}) != nullptr;
     };
-    CHECK(all.core->era() == 1);
+    CHECK(fixture.core->era() == 1);
     CHECK(is_used("a"));
     CHECK(is_used("b"));
-    all.advance(milliseconds{1900});
+    fixture.advance(milliseconds{1900});
     CHECK(is_used("b"));
-    all.advance(milliseconds{300});
+    fixture.advance(milliseconds{300});
     CHECK(!is_used("b"));
     CHECK(is_used("a"));
 }
 
-TEST_CASE("words of before the store came back change nothing", "[new_era]")
+TEST_CASE("reports from before the store was restored change nothing", "[new_era]")
 {
-    // A peer that is cut off, or was frozen, still tells where the list ended before, and since
-    // when the store has answered without a gap. Believed, the first would have this entry ask for
-    // what never was, and the second take out servers that the copy lacks.
-    world all;
-    held_store store;
-    follow_servers(all, store, {"a", "b"});
-    all.advance(seconds{1});
-    auto& freshness = all.core->freshness;
-    all.core->note_era(stream_position::at(1, 0), "store");
-    freshness.note_read(stream_position::at(1, 4).value(), true, all.now);
-    const auto ended = freshness.outage_ended(all.now);
-    freshness.hear({stream_position{900}.value(), milliseconds{10}, seconds{100}, 7, 1}, all.now);
+    // A peer that is cut off, or was frozen, still reports the former end of the list, and since
+    // when the store has worked without a gap. If trusted, the first would make this entry ask for
+    // changes that never existed, and the second would remove servers that the copy lacks.
+    router_fixture fixture;
+    queued_store store;
+    follow_servers(fixture, store, {"a", "b"});
+    fixture.advance(seconds{1});
+    auto& freshness = fixture.core->freshness;
+    fixture.core->note_era(stream_position::at(1, 0), "store");
+    freshness.note_read(stream_position::at(1, 4).value(), true, fixture.now);
+    const auto ended = freshness.outage_ended(fixture.now);
+    freshness.hear(
+        {stream_position{900}.value(), milliseconds{10}, seconds{100}, 7, 1}, fixture.now);
     CHECK(!freshness.lacks_change());
-    CHECK(freshness.outage_ended(all.now) == ended);
+    CHECK(freshness.outage_ended(fixture.now) == ended);
     freshness.hear(
-        {stream_position::at(1, 9).value(), milliseconds{10}, milliseconds{5}, 8, 1}, all.now);
+        {stream_position::at(1, 9).value(), milliseconds{10}, milliseconds{5}, 8, 1}, fixture.now);
     CHECK(freshness.lacks_change());
-    // An era that has passed does not come again.
-    all.core->note_era(stream_position::at(0, 999), "late");
-    CHECK(all.core->era() == 1);
+    // An earlier era does not return.
+    fixture.core->note_era(stream_position::at(0, 999), "late");
+    CHECK(fixture.core->era() == 1);
 }
 
 TEST_CASE(
-    "an end of a roll-out that an older copy lacks is written again, and not decided anew",
+    "a final roll-out state that an older copy lacks is written again, not decided again",
     "[new_era]")
 {
-    // The version was reverted and the store held that. The copy has the order, and the state
-    // "running". Begun anew, callers would be sent to the bad version a second time.
-    world all;
-    held_store store;
-    const auto writer = writer_of(all, store, 0);
-    all.core->rollouts.learn({engines, target, routing::rollout_state::reverted});
+    // The version was reverted, and the store held that state. The copy has the order and the state
+    // "running". If the roll-out started again, callers would be sent to the bad version a second
+    // time.
+    router_fixture fixture;
+    queued_store store;
+    const auto writer = writer_of(fixture, store, 0);
+    fixture.core->rollouts.learn({engines, target, routing::rollout_state::reverted});
     writer->tick();
     CHECK(store.outcomes.empty());
-    all.core->note_era(stream_position::at(0, 5), "store");
-    all.core->note_era(stream_position::at(1, 2), "store");
+    fixture.core->note_era(stream_position::at(0, 5), "store");
+    fixture.core->note_era(stream_position::at(1, 2), "store");
     writer->tick();
-    held_store::take(store.outcomes)(reading<routing::rollout_status>(
+    queued_store::next_call(store.outcomes)(reading<routing::rollout_status>(
         {{engines, target, routing::rollout_state::running}}, 1, true));
-    const auto written = held_store::take(store.writes);
+    const auto written = queued_store::next_call(store.writes);
     CHECK(written.first.state == routing::rollout_state::reverted);
     written.second(stream_position::at(1, 3));
     writer->tick();
     CHECK(store.outcomes.empty());
 }
 
-TEST_CASE("an order that was replaced is none when an older copy shows it", "[new_era]")
+TEST_CASE("a replaced order in an older copy is ignored", "[new_era]")
 {
-    // The operator has ordered v3 after v2. The copy holds the order of v2 alone, until the
-    // operator writes v3 again.
-    world all;
-    held_store store;
+    // The operator has ordered v3 after v2. The copy holds only the order of v2 until the operator
+    // orders v3 again.
+    router_fixture fixture;
+    queued_store store;
     const auto follower =
-        std::make_shared<rules_follower>(all.core, store.hooks(), follower_options{});
+        std::make_shared<rules_follower>(fixture.core, store.hooks(), follower_options{});
     const routing::rollout_order second{engines, target, seconds{20}};
     const routing::rollout_order third{engines, common::version_id{"v3"}, seconds{20}};
-    const auto target_of = [&all] {
-        return all.core->rollouts.states(all.now).front().status.target.value();
+    const auto target_of = [&fixture] {
+        return fixture.core->rollouts.states(fixture.now).front().status.target.value();
     };
-    all.core->rollouts.order(second, all.now);
+    fixture.core->rollouts.order(second, fixture.now);
     const auto read = [&](std::vector<rules_document> documents, stream_position end, bool whole) {
         stream_reading<rules_document> one{std::move(documents), end, whole};
-        held_store::take(store.rules).second(std::move(one));
+        queued_store::next_call(store.rules).second(std::move(one));
     };
     follower->start();
-    held_store::take(store.outcomes)(reading<routing::rollout_status>({}, 0, true));
+    queued_store::next_call(store.outcomes)(reading<routing::rollout_status>({}, 0, true));
     read({third}, stream_position{2}, false);
     CHECK(target_of() == "v3");
-    held_store::take(store.rules).second(fails<rules_document>(result_code::log_trimmed));
-    all.advance(seconds{1});
+    queued_store::next_call(store.rules).second(fails<rules_document>(result_code::log_trimmed));
+    fixture.advance(seconds{1});
     read({second}, stream_position::at(1, 1), true);
     CHECK(target_of() == "v3");
-    // Ordered again it is the operator's word of now.
+    // An order written after the restore is the operator's present one.
     read({second}, stream_position::at(1, 2), false);
     CHECK(target_of() == "v2");
 }
--- a/source/unit_tests/router/older_copy_test.cpp
+++ b/source/unit_tests/router/older_copy_test.cpp
@@ -7,26 +7,26 @@
 
 #include "entry_fleet.hpp"
 
-/// A store that comes back from an older copy of itself, before many entries.
+/// Tests of many entries whose store is restored from an older copy of itself.
 namespace reedramp::router::testing {
 
 namespace {
 
 /// Time in which entries find each other and their readers.
 constexpr seconds settled{3};
-/// After the store is back, all entries know the list again within this.
+/// All entries know the list again within this time after the store is back.
 constexpr seconds catch_up{4};
 
-struct return_cost {
+struct restore_cost {
     std::size_t calls = 0;
-    /// Until the last entry uses a server that registered after the copy was made, and none that
-    /// had ended by then.
-    milliseconds until_right{0};
+    /// Time until all entries use the server that registered after the copy was made, and none uses
+    /// the one that had ended by then.
+    milliseconds until_consistent{0};
 };
 
-/// A server registers and another one ends; then the store is away for a moment, and has both or,
-/// if `is_older`, neither when it is back. In the second case the live one writes again.
-auto play_return(std::size_t entries, std::uint64_t seed, bool is_older) -> return_cost
+/// A server registers and another one ends; then the store is unavailable for a moment. Afterwards
+/// it has both records or, if `is_older`, neither; in that case the live server registers again.
+auto simulate_restore(std::size_t entries, std::uint64_t seed, bool is_older) -> restore_cost
 {
     entry_fleet fleet{{.entries = entries, .data_centres = 5, .loss = 0.01, .seed = seed}};
     fleet.run(settled);
@@ -35,24 +35,25 @@
     fleet.run(seconds{3});
     fleet.calls = 0;
     for (auto& one : fleet.entries) {
-        one->is_turned_away = true;
+        one->is_refused_by_store = true;
     }
     fleet.run(seconds{1});
     for (auto& one : fleet.entries) {
-        one->is_turned_away = false;
+        one->is_refused_by_store = false;
     }
     if (is_older) {
-        fleet.come_back_older(2);
+        fleet.restore_older_copy(2);
     }
     fleet.run(milliseconds{400});
     fleet.write("new");
     fleet.write("last");
-    return_cost cost;
-    const auto is_right = [&fleet, entries] {
+    restore_cost cost;
+    const auto is_consistent = [&fleet, entries] {
         return fleet.using_server("last") == entries && fleet.using_server("new") == entries &&
                fleet.using_server("a") == 0;
     };
-    for (; !is_right() && cost.until_right < seconds{6}; cost.until_right += milliseconds{10}) {
+    for (; !is_consistent() && cost.until_consistent < seconds{6};
+         cost.until_consistent += milliseconds{10}) {
         fleet.run(milliseconds{10});
     }
     fleet.run(seconds{2});
@@ -62,37 +63,37 @@
 
 } // namespace
 
-TEST_CASE("a return from an older copy costs little more than an outage", "[hand_on]")
+TEST_CASE("a restore from an older copy costs little more than an outage", "[hand_on]")
 {
-    // All entries see in one moment that the store has come back from an older copy. Were each to
-    // read it anew, calls would go with their number.
+    // All entries notice at once that the store was restored from an older copy. If each read the
+    // whole list, calls would grow with the entries.
     for (const std::size_t entries : {26, 103}) {
         std::size_t plain_calls = 0;
         std::size_t older_calls = 0;
         for (const std::uint64_t seed : {1, 2, 3, 9, 12}) {
-            const auto plain = play_return(entries, seed, false);
-            const auto older = play_return(entries, seed, true);
+            const auto plain = simulate_restore(entries, seed, false);
+            const auto older = simulate_restore(entries, seed, true);
             plain_calls += plain.calls;
             older_calls += older.calls;
             INFO(entries << " entries, seed " << seed);
-            CHECK(plain.until_right <= catch_up);
-            CHECK(older.until_right <= catch_up);
+            CHECK(plain.until_consistent <= catch_up);
+            CHECK(older.until_consistent <= catch_up);
         }
         INFO(entries << " entries, calls " << plain_calls << " and " << older_calls);
         CHECK(older_calls * 3 <= plain_calls * 4);
     }
 }
 
-TEST_CASE(
-    "a server that writes again after its registration lapsed is back everywhere", "[hand_on]")
+TEST_CASE("a server that registers again after a lapse is back everywhere", "[hand_on]")
 {
-    // Where it was read, the server had work all the while, so that nothing seemed to have changed
-    // and nobody was told. All others let it go two seconds after the store had returned.
+    // The reader kept sending requests to the server, so that nothing seemed to have changed there.
+    // If it sent no update, all other entries would drop the server two seconds after the store was
+    // back.
     entry_fleet fleet{{.entries = 26, .data_centres = 5}};
     fleet.run(settled);
     fleet.write("new");
     fleet.run(seconds{2});
-    fleet.come_back_older(1);
+    fleet.restore_older_copy(1);
     fleet.run(milliseconds{700});
     fleet.write("new");
     for (int i = 0; i < 40; ++i) {
@@ -103,39 +104,40 @@
 
 namespace {
 
-/// As `play_return`, and with the second return, if any, `trouble` strikes as the store comes back.
-auto time_until_right(
+/// Like `simulate_restore`, but runs `fault` as the store comes back, after a second restore if
+/// there is one.
+auto time_until_consistent(
     std::uint64_t seed,
-    bool comes_back_twice,
-    const std::function<auto(entry_fleet& fleet)->void>& trouble) -> milliseconds
+    bool restores_twice,
+    const std::function<auto(entry_fleet& fleet)->void>& fault) -> milliseconds
 {
     entry_fleet fleet{{.entries = 26, .data_centres = 3, .loss = 0.01, .seed = seed}};
     fleet.run(settled);
     fleet.write("new");
     fleet.remove("a");
     fleet.run(seconds{3});
-    fleet.come_back_older(2);
-    if (comes_back_twice) {
+    fleet.restore_older_copy(2);
+    if (restores_twice) {
         fleet.run(milliseconds{400});
-        // What the live servers have written since goes as well.
+        // Records that live servers have written since then are lost as well.
         fleet.write("new");
         fleet.run(milliseconds{300});
-        fleet.come_back_older(1);
+        fleet.restore_older_copy(1);
     }
-    trouble(fleet);
+    fault(fleet);
     fleet.run(milliseconds{400});
     fleet.write("new");
     fleet.write("last");
-    // The copy has "a", and nobody writes of it any more: it lapses at the store.
+    // The copy has "a", which does not register any more: it lapses at the store.
     fleet.remove("a");
     const auto began = fleet.now;
-    const auto is_right = [&fleet] {
-        const auto serving = static_cast<std::size_t>(std::ranges::count_if(
+    const auto is_consistent = [&fleet] {
+        const auto live = static_cast<std::size_t>(std::ranges::count_if(
             fleet.entries, [](const auto& one) { return !one->is_dead && !one->is_frozen; }));
-        return serving > 0 && fleet.using_server("last") == serving &&
-               fleet.using_server("new") == serving && fleet.using_server("a") == 0;
+        return live > 0 && fleet.using_server("last") == live &&
+               fleet.using_server("new") == live && fleet.using_server("a") == 0;
     };
-    while (!is_right() && fleet.now - began < seconds{10}) {
+    while (!is_consistent() && fleet.now - began < seconds{10}) {
         fleet.run(milliseconds{10});
     }
     return std::chrono::duration_cast<milliseconds>(fleet.now - began);
@@ -148,14 +150,14 @@
     }
 }
 
-auto start_all_anew(entry_fleet& fleet) -> void
+auto restart_all(entry_fleet& fleet) -> void
 {
     for (std::size_t i = 0; i < fleet.entries.size(); ++i) {
-        fleet.start_anew(i);
+        fleet.restart(i);
     }
 }
 
-/// The readers of a data centre stand still across the return, and wake after it.
+/// Freezes the readers of a data centre during the restore.
 auto freeze_readers(entry_fleet& fleet) -> void
 {
     const auto readers = fleet.readers_of(1);
@@ -168,41 +170,41 @@
     }
 }
 
-/// The store turns half of the entries away, and goes on to.
-auto turn_half_away(entry_fleet& fleet) -> void
+/// Makes the store refuse half of the entries from now on.
+auto refuse_half(entry_fleet& fleet) -> void
 {
     for (std::size_t i = 0; i < fleet.entries.size(); i += 2) {
-        fleet.entries[i]->is_turned_away = true;
+        fleet.entries[i]->is_refused_by_store = true;
     }
 }
 
 } // namespace
 
-TEST_CASE("all entries are right again after two returns within a second", "[older_copy]")
+TEST_CASE("all entries are right again after two restores within a second", "[older_copy]")
 {
-    // Guards against a second new era that is taken for the first one.
+    // Guards against taking a second new era for the first one.
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         INFO("seed " << seed);
-        CHECK(time_until_right(seed, true, [](entry_fleet&) {}) <= catch_up);
+        CHECK(time_until_consistent(seed, true, [](entry_fleet&) {}) <= catch_up);
     }
 }
 
-TEST_CASE("all entries are right again when others fail as the store returns", "[older_copy]")
+TEST_CASE("all entries are right again if others fail while the store is restored", "[older_copy]")
 {
-    // Guards against news of a new era that go with the entries that read them.
+    // Guards against losing the news of a new era with the entries that read it.
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        for (const bool comes_back_twice : {false, true}) {
-            INFO("seed " << seed << (comes_back_twice ? ", twice" : ""));
-            CHECK(time_until_right(seed, comes_back_twice, kill_readers) <= catch_up);
-            CHECK(time_until_right(seed, comes_back_twice, start_all_anew) <= catch_up);
-            CHECK(time_until_right(seed, comes_back_twice, freeze_readers) <= catch_up);
-            CHECK(time_until_right(seed, comes_back_twice, turn_half_away) <= catch_up);
+        for (const bool restores_twice : {false, true}) {
+            INFO("seed " << seed << (restores_twice ? ", twice" : ""));
+            CHECK(time_until_consistent(seed, restores_twice, kill_readers) <= catch_up);
+            CHECK(time_until_consistent(seed, restores_twice, restart_all) <= catch_up);
+            CHECK(time_until_consistent(seed, restores_twice, freeze_readers) <= catch_up);
+            CHECK(time_until_consistent(seed, restores_twice, refuse_half) <= catch_up);
         }
     }
 }
 
-/// By hand.
-TEST_CASE("the cost of a return from an older copy, over seeds", "[.return_seeds]")
+/// Run by hand.
+TEST_CASE("the cost of a restore from an older copy, over seeds", "[.return_seeds]")
 {
     constexpr std::uint64_t seeds = 20;
     for (const std::size_t entries : {26, 103}) {
@@ -210,9 +212,9 @@
             std::size_t calls = 0;
             milliseconds longest{0};
             for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-                const auto cost = play_return(entries, seed, is_older);
+                const auto cost = simulate_restore(entries, seed, is_older);
                 calls += cost.calls;
-                longest = std::max(longest, cost.until_right);
+                longest = std::max(longest, cost.until_consistent);
             }
             const auto name = std::to_string(entries) + (is_older ? "_older" : "_plain");
             std::cout << "METRIC return_calls_" << name << " " << calls / seeds << " calls\n"
--- a/source/unit_tests/router/peer_message_test.cpp
+++ b/source/unit_tests/router/peer_message_test.cpp
@@ -12,11 +12,11 @@
 
 auto full_message() -> peer_report
 {
-    peer_report words;
-    words.host = common::host_id{"host-a"};
-    words.address = "10.0.0.1:7000";
-    words.rules_version = 12;
-    words.loads = {{7, {2.0, 300.0, 120.0}}, {9, {1.0, 50.0, 0.0}}};
+    peer_report report;
+    report.host = common::host_id{"host-a"};
+    report.address = "10.0.0.1:7000";
+    report.rules_version = 12;
+    report.loads = {{7, {2.0, 300.0, 120.0}}, {9, {1.0, 50.0, 0.0}}};
     routing::rollout_report rollout;
     rollout.service = common::service_name{"engines"};
     rollout.target = common::version_id{"v2"};
@@ -31,48 +31,48 @@
     rollout.old_sessions = {{5, std::chrono::milliseconds{1200}}};
     rollout.state = routing::rollout_state::reverted;
     rollout.is_written = true;
-    words.rollouts = {rollout};
-    words.process = 4711;
-    words.ended = {{17, 123456789000}, {18, 0}};
-    words.freshness = {
+    report.rollouts = {rollout};
+    report.process = 4711;
+    report.ended = {{17, 123456789000}, {18, 0}};
+    report.freshness = {
         123456789012, std::chrono::milliseconds{250}, std::chrono::seconds{77}, 11, 12};
-    words.outcomes = {{7, 1.5, 2.25}};
-    words.peers = {"10.0.0.2:7000", "255.254.0.9:65535", "[2001:db8::1]:7000"};
-    words.leaving = {77};
-    words.limits = {
+    report.outcomes = {{7, 1.5, 2.25}};
+    report.peers = {"10.0.0.2:7000", "255.254.0.9:65535", "[2001:db8::1]:7000"};
+    report.leaving = {77};
+    report.limits = {
         {19, 2.5, std::chrono::milliseconds{40}}, {20, std::nullopt, std::chrono::milliseconds{0}}};
-    words.evacuations = {
+    report.evacuations = {
         routing::stream_position{4321},
         {common::data_centre_id{"dc-1"}, common::data_centre_id{"dc-2"}}};
-    words.ends_in = std::chrono::milliseconds{4200};
-    return words;
+    report.ends_in = std::chrono::milliseconds{4200};
+    return report;
 }
 
 } // namespace
 
-TEST_CASE("a peer reads what was written", "[peer_message]")
+TEST_CASE("a decoded report equals the encoded one", "[peer_message]")
 {
-    const auto words = full_message();
-    const auto read = decode_peer_words(encode(words));
+    const auto report = full_message();
+    const auto read = decode_peer_words(encode(report));
     REQUIRE(read);
-    CHECK(read->host == words.host);
-    CHECK(read->address == words.address);
-    CHECK(read->rules_version == words.rules_version);
+    CHECK(read->host == report.host);
+    CHECK(read->address == report.address);
+    CHECK(read->rules_version == report.rules_version);
     REQUIRE(read->loads.size() == 2);
     CHECK(read->loads[0].load.work == 300.0);
     CHECK(read->loads[0].load.reading == 120.0);
     REQUIRE(read->rollouts.size() == 1);
-    CHECK(read->evacuations.known_to == words.evacuations.known_to);
-    CHECK(read->evacuations.evacuated == words.evacuations.evacuated);
+    CHECK(read->evacuations.known_to == report.evacuations.known_to);
+    CHECK(read->evacuations.evacuated == report.evacuations.evacuated);
     CHECK(read->rollouts[0].elapsed == std::chrono::seconds{3});
-    CHECK(read->rollouts[0].evidence == words.rollouts[0].evidence);
+    CHECK(read->rollouts[0].evidence == report.rollouts[0].evidence);
     CHECK(read->rollouts[0].share == 0.5);
     REQUIRE(read->rollouts[0].old_sessions.size() == 1);
     CHECK(read->rollouts[0].old_sessions[0].session == 5);
     CHECK(read->rollouts[0].old_sessions[0].left == std::chrono::milliseconds{1200});
     CHECK(read->rollouts[0].state == routing::rollout_state::reverted);
     CHECK(read->rollouts[0].is_written);
-    CHECK(read->process == words.process);
+    CHECK(read->process == report.process);
     REQUIRE(read->limits.size() == 2);
     CHECK(read->limits[0].server == 19);
     CHECK(read->limits[0].per_second == 2.5);
@@ -81,36 +81,36 @@
     REQUIRE(read->ended.size() == 2);
     CHECK(read->ended[0].server == 17);
     CHECK(read->ended[0].read_to == 123456789000);
-    CHECK(read->freshness.changed == words.freshness.changed);
-    CHECK(read->freshness.age == words.freshness.age);
-    CHECK(read->freshness.steady == words.freshness.steady);
-    CHECK(read->freshness.reader == words.freshness.reader);
-    CHECK(read->freshness.number == words.freshness.number);
+    CHECK(read->freshness.changed == report.freshness.changed);
+    CHECK(read->freshness.age == report.freshness.age);
+    CHECK(read->freshness.steady == report.freshness.steady);
+    CHECK(read->freshness.reader == report.freshness.reader);
+    CHECK(read->freshness.number == report.freshness.number);
     REQUIRE(read->outcomes.size() == 1);
     CHECK(read->outcomes[0].server == 7);
     CHECK(read->outcomes[0].good == 1.5);
     CHECK(read->outcomes[0].bad == 2.25);
-    CHECK(read->peers == words.peers);
-    CHECK(read->leaving == words.leaving);
-    CHECK(read->ends_in == words.ends_in);
+    CHECK(read->peers == report.peers);
+    CHECK(read->leaving == report.leaving);
+    CHECK(read->ends_in == report.ends_in);
 }
 
-TEST_CASE("a share comes back to the last bit", "[peer_message]")
+TEST_CASE("a share is transmitted exactly", "[peer_message]")
 {
-    // Entries compare a peer's share with the first one of the schedule. Rounded up on its way,
-    // 0.18 was more than 0.18: the second half seemed to have begun, and sessions changed their
-    // version in the middle of a talk.
-    auto words = full_message();
+    // Entries compare a peer's share with the schedule's first one. If 0.18 was rounded up in
+    // transit, the second half would seem to have begun, and sessions would change their version
+    // midway.
+    auto report = full_message();
     for (const double share : {0.18, 0.117, 0.1, 1.0 / 3.0}) {
-        words.rollouts[0].share = share;
-        CHECK(decode_peer_words(encode(words))->rollouts[0].share == share);
+        report.rollouts[0].share = share;
+        CHECK(decode_peer_words(encode(report))->rollouts[0].share == share);
     }
 }
 
-TEST_CASE("bytes that are no message are refused", "[peer_message]")
+TEST_CASE("malformed reports are rejected", "[peer_message]")
 {
-    // Whatever reaches the port: cut messages, and messages with any byte changed. None may crash
-    // the reader or make it take much memory.
+    // Truncated messages, and messages with changed bytes. None may crash the reader or make it use
+    // much memory.
     const auto bytes = encode(full_message());
     for (std::size_t size = 0; size < bytes.size(); size += 8) {
         CHECK_FALSE(decode_peer_words(bytes.substr(0, size)));
@@ -126,27 +126,27 @@
     }
 }
 
-TEST_CASE("news of crashes are read as they were told, in pieces of a datagram", "[crash_news]")
+TEST_CASE("a decoded crash update equals the encoded one, over several datagrams", "[crash_news]")
 {
-    crash_update news;
-    news.host = common::host_id{"host-a"};
+    crash_update update;
+    update.host = common::host_id{"host-a"};
     for (std::uint64_t i = 1; i <= 100; ++i) {
         const std::chrono::milliseconds age{i};
-        news.lost.push_back({routing::request_fingerprint{i}, i * 3, age, age * 2});
+        update.lost.push_back({routing::request_fingerprint{i}, i * 3, age, age * 2});
     }
-    news.served.push_back({routing::request_fingerprint{7}, std::chrono::milliseconds{70}});
-    news.barred.push_back(
+    update.served.push_back({routing::request_fingerprint{7}, std::chrono::milliseconds{70}});
+    update.barred.push_back(
         {routing::request_fingerprint{8},
          std::chrono::milliseconds{80},
          std::chrono::milliseconds{9}});
     crash_update read;
-    for (const auto& bytes : encode_datagrams(news)) {
+    for (const auto& bytes : encode_datagrams(update)) {
         CHECK(is_crash_update(bytes));
         CHECK(bytes.size() <= 1400);
         CHECK(!decode_peer_words(bytes));
         const auto part = decode_crash_news(bytes);
         REQUIRE(part);
-        CHECK(part->host == news.host);
+        CHECK(part->host == update.host);
         read.lost.insert(read.lost.end(), part->lost.begin(), part->lost.end());
         read.served.insert(read.served.end(), part->served.begin(), part->served.end());
         read.barred.insert(read.barred.end(), part->barred.begin(), part->barred.end());
@@ -161,14 +161,14 @@
     CHECK(read.served.front().age == std::chrono::milliseconds{70});
     REQUIRE(read.barred.size() == 1);
     CHECK(read.barred.front().unseen == std::chrono::milliseconds{9});
-    CHECK(encode_datagrams({news.host, {}, {}, {}, 0}).empty());
+    CHECK(encode_datagrams({update.host, {}, {}, {}, 0}).empty());
     CHECK(!decode_crash_news("no message"));
 }
 
-TEST_CASE("words on servers that left and ended have a bounded size", "[peer_message]")
+TEST_CASE("reports on servers that left and ended have a bounded size", "[peer_message]")
 {
-    // All of a service's servers are replaced within seconds. What is told of that must not grow
-    // with their number: it is told forty times a second.
+    // All of a service's servers are replaced within seconds. The report is sent forty times per
+    // second, so its size must not grow with their number.
     peer_report calm;
     calm.host = common::host_id{"host-with-a-name"};
     calm.address = "10.0.0.1:7000";
--- a/source/unit_tests/router/held_store.hpp
+++ b/source/unit_tests/router/queued_store.hpp
@@ -13,9 +13,9 @@
 
 #include "router/rollout_writer.hpp"
 #include "router/servers_follower.hpp"
-#include "world.hpp"
+#include "router_fixture.hpp"
 
-/// A store whose calls wait for the test, and followers of it.
+/// A store whose calls are completed by the test, and followers of it.
 namespace reedramp::router::testing {
 
 template <typename Document>
@@ -31,8 +31,8 @@
     return common::failure(code);
 }
 
-/// A store whose calls wait for the test to answer them.
-struct held_store {
+/// A store that queues its calls until the test completes them.
+struct queued_store {
     template <typename Document>
     using hook = answer_hook<stream_reading<Document>>;
 
@@ -51,17 +51,17 @@
         store.read_servers = [this](auto from, auto done) {
             this->servers.emplace_back(from, std::move(done));
         };
-        store.read_outcomes = [this](auto done) {
+        store.read_rollout_states = [this](auto done) {
             this->outcomes.push_back(std::move(done));
         };
-        store.write_outcome = [this](const auto& status, auto, auto done) {
+        store.write_rollout_state = [this](const auto& status, auto, auto done) {
             this->writes.emplace_back(status, std::move(done));
         };
         return store;
     }
 
     template <typename Queue>
-    static auto take(Queue& queue)
+    static auto next_call(Queue& queue)
     {
         REQUIRE_FALSE(queue.empty());
         auto first = std::move(queue.front());
@@ -70,7 +70,7 @@
     }
 };
 
-inline auto registration_of(const std::string& id) -> routing::registration_change
+inline auto make_registration_change(const std::string& id) -> routing::registration_change
 {
     const common::server_id name{id};
     return {
@@ -88,35 +88,37 @@
 inline const common::service_name engines{"engines"};
 inline const common::version_id target{"v2"};
 
-inline auto make_follower(world& all, held_store& store, servers_follower_hooks hooks = {})
+inline auto
+make_follower(router_fixture& fixture, queued_store& store, servers_follower_hooks hooks = {})
     -> std::shared_ptr<servers_follower>
 {
     return std::make_shared<servers_follower>(
-        all.core,
+        fixture.core,
         store.hooks(),
         follower_options{},
-        std::make_shared<servers_list>(all.core, follower_options{}),
+        std::make_shared<servers_list>(fixture.core, follower_options{}),
         std::move(hooks));
 }
 
-/// A follower that has read the servers `ids`, up to a position of their number.
-inline auto follow_servers(world& all, held_store& store, const std::vector<std::string>& ids)
+/// Starts a follower that has read the servers `ids`, up to a position equal to their number.
+inline auto
+follow_servers(router_fixture& fixture, queued_store& store, const std::vector<std::string>& ids)
     -> void
 {
-    make_follower(all, store)->start();
+    make_follower(fixture, store)->start();
     std::vector<routing::registration_change> known;
-    std::ranges::transform(ids, std::back_inserter(known), registration_of);
+    std::ranges::transform(ids, std::back_inserter(known), make_registration_change);
     const auto end = known.size();
-    held_store::take(store.servers)
+    queued_store::next_call(store.servers)
         .second(reading<routing::registration_change>(std::move(known), end, true));
 }
 
-/// The writer of an entry of this rank, after a roll-out was ordered.
-inline auto writer_of(world& all, held_store& store, std::size_t rank)
+/// Orders a roll-out and returns the state writer of an entry of this rank.
+inline auto writer_of(router_fixture& fixture, queued_store& store, std::size_t rank)
     -> std::shared_ptr<rollout_writer>
 {
-    all.core->rollouts.order({engines, target, seconds{20}}, all.now);
-    return std::make_shared<rollout_writer>(all.core, store.hooks(), [rank] { return rank; });
+    fixture.core->rollouts.order({engines, target, seconds{20}}, fixture.now);
+    return std::make_shared<rollout_writer>(fixture.core, store.hooks(), [rank] { return rank; });
 }
 
 } // namespace reedramp::router::testing
--- a/source/unit_tests/router/relay_test.cpp
+++ b/source/unit_tests/router/relay_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "world.hpp"
+#include "router_fixture.hpp"
 
 namespace reedramp::router::testing {
 
@@ -19,37 +19,38 @@
 
 } // namespace
 
-TEST_CASE("a server's answer reaches the caller unchanged", "[relay]")
+TEST_CASE("a server's response reaches the caller unchanged", "[relay]")
 {
-    world all;
-    const auto out = all.ask(once);
-    REQUIRE(all.sends() == 1);
-    CHECK(all.last().asked.target == once);
-    CHECK(all.last().asked.body == "body");
-    CHECK(all.last().header("Reedramp-Organisation") == "org");
-    CHECK(all.last().header("Reedramp-Key").empty());
-    all.last().answer(200, "whole", {{"X-Own", "1"}});
+    router_fixture fixture;
+    const auto out = fixture.ask(once);
+    REQUIRE(fixture.sends() == 1);
+    CHECK(fixture.last().request.target == once);
+    CHECK(fixture.last().request.body == "body");
+    CHECK(fixture.last().header("Reedramp-Organisation") == "org");
+    CHECK(fixture.last().header("Reedramp-Key").empty());
+    fixture.last().answer(200, "whole", {{"X-Own", "1"}});
     CHECK(out->status() == 200);
     CHECK(out->answer->body == "whole");
     CHECK(http::find_header(out->answer->headers, "X-Own") == "1");
-    CHECK(all.core->under_way() == 0);
+    CHECK(fixture.core->in_flight() == 0);
 }
 
-/// What a first server does with a request, and what has to follow.
+/// What the first server does with a request, and what must follow.
 struct fault_row {
     const char* what;
     const char* path;
     std::function<auto(sent_request& first)->void> fault;
-    /// Sends in all, when the second server answers with 200.
+    /// Total sends if the second server responds with 200.
     std::size_t sends;
     int status;
 };
 
-TEST_CASE("what is known of an attempt decides what follows", "[relay]")
+TEST_CASE("a further send depends on what is known of the attempt", "[relay]")
 {
-    // After a loss, a request may still run at its server. Sent once more, one that is not
-    // idempotent would run twice; called "not run", its caller would do the same. Only what was
-    // never sent, or what the server says it has not run, is free to go elsewhere.
+    // After a connection is lost, the request may still run at its server. If a non-idempotent one
+    // were sent again it could run twice, and if it were reported as not run its caller would send
+    // it again. Only a request that was never sent, or that the server declares not executed, may
+    // go to another server.
     const auto lost = [](sent_request& first) {
         first.lose(execution::unknown);
     };
@@ -93,422 +94,427 @@
     };
     for (const auto& row : rows) {
         INFO(row.what << " on " << row.path);
-        world all;
-        const auto out = all.ask(row.path);
-        const auto first = all.client->sent.front();
+        router_fixture fixture;
+        const auto out = fixture.ask(row.path);
+        const auto first = fixture.client->sent.front();
         row.fault(*first);
-        CHECK(all.sends() == row.sends);
-        if (all.sends() == 2) {
+        CHECK(fixture.sends() == row.sends);
+        if (fixture.sends() == 2) {
             CHECK(
-                all.last().header("Reedramp-Expect-Server") !=
+                fixture.last().header("Reedramp-Expect-Server") !=
                 first->header("Reedramp-Expect-Server"));
-            all.last().answer(200, "second");
+            fixture.last().answer(200, "second");
         }
         CHECK(out->status() == row.status);
-        CHECK(all.core->under_way() == 0);
+        CHECK(fixture.core->in_flight() == 0);
     }
 }
 
-TEST_CASE("a failure that a server answered is passed on when nothing better comes", "[relay]")
+TEST_CASE("a server's failure response is forwarded if no attempt succeeds", "[relay]")
 {
-    world all;
-    const auto out = all.ask(again);
-    all.last().answer(500, "first");
-    all.last().answer(500, "second");
-    CHECK(all.sends() == 2);
+    router_fixture fixture;
+    const auto out = fixture.ask(again);
+    fixture.last().answer(500, "first");
+    fixture.last().answer(500, "second");
+    CHECK(fixture.sends() == 2);
     CHECK(out->status() == 500);
     CHECK(out->answer->body == "second");
 }
 
-TEST_CASE("nothing but refusals is a refusal that says when to come back", "[relay]")
+TEST_CASE("a request refused by all servers is refused with a time to return", "[relay]")
 {
-    // Every server is full. None has run the request, so the caller may safely come again.
-    world all;
-    const auto out = all.ask(once);
+    // Every server is full. None has run the request, so the caller may safely retry.
+    router_fixture fixture;
+    const auto out = fixture.ask(once);
     while (out->status() == 0) {
-        all.last().answer(503, "", {{"Reedramp-Not-Executed", "1"}});
+        fixture.last().answer(503, "", {{"Reedramp-Not-Executed", "1"}});
     }
-    CHECK(all.sends() == 3);
+    CHECK(fixture.sends() == 3);
     CHECK(out->status() == 503);
     CHECK(http::find_header(out->answer->headers, "Retry-After") == "0.250");
     CHECK_FALSE(http::find_header(out->answer->headers, "Reedramp-Signature"));
 }
 
-TEST_CASE("a stream that was lost without a sign is not called not run", "[relay]")
+TEST_CASE("a stream lost before its head is not reported as not run", "[relay]")
 {
-    // Each server takes the request, works on it and loses its connection before the answer's head
-    // is out. Refused as "not run", the caller would take that word.
-    world all;
-    const auto out = all.ask(stream);
+    // Each server accepts the request, works on it and loses its connection before the head of the
+    // response. A caller would rely on a report that it has not run.
+    router_fixture fixture;
+    const auto out = fixture.ask(stream);
     while (out->status() == 0) {
-        all.last().lose(execution::unknown);
+        fixture.last().lose(execution::unknown);
     }
     CHECK(out->status() == 502);
     CHECK_FALSE(http::find_header(out->answer->headers, "Retry-After"));
 }
 
-TEST_CASE("a server whose address another one has is not asked again", "[relay]")
+TEST_CASE("a server whose address is reused gets no more requests", "[relay]")
 {
-    // A server crashed and another one got its address. Its own registration is in the list for
-    // seconds yet, and each request for it costs a round trip.
-    world all;
-    all.ask(once);
-    const common::server_id gone{all.last().header("Reedramp-Expect-Server")};
-    all.last().answer(421, "");
-    CHECK(all.core->servers.find(gone) == nullptr);
+    // A server crashed and another one got its address. Its registration remains listed for
+    // seconds, and each request for it would cost a round trip.
+    router_fixture fixture;
+    fixture.ask(once);
+    const common::server_id gone{fixture.last().header("Reedramp-Expect-Server")};
+    fixture.last().answer(421, "");
+    CHECK(fixture.core->servers.find(gone) == nullptr);
 }
 
-TEST_CASE("a restarted server's word says nothing of what its former self took", "[relay]")
+TEST_CASE("a restarted server's refusal does not cover requests to its former instance", "[relay]")
 {
-    // The only server takes a request and dies; it starts again under its id, and refuses whatever
-    // comes next as "not executed". That is true of the second send alone: the first may have run.
-    world all;
+    // The only server accepts a request and crashes. It restarts under its id and refuses the next
+    // send as "not executed". That holds only for the second send: the first may have run.
+    router_fixture fixture;
     for (const auto* id : {"b", "c"}) {
-        all.core->servers.retire(common::server_id{id});
+        fixture.core->servers.retire(common::server_id{id});
     }
-    const auto restart = [&all] {
-        all.add_server("a", "v1", 1000 + all.sends());
+    const auto restart = [&fixture] {
+        fixture.add_server("a", "v1", 1000 + fixture.sends());
     };
     restart();
-    SECTION("what may run twice is sent to the new start, and its refusal frees nothing")
+    SECTION("an idempotent request is sent to the new instance, whose refusal proves nothing")
     {
-        const auto out = all.ask(again);
-        all.last().lose(execution::unknown);
+        const auto out = fixture.ask(again);
+        fixture.last().lose(execution::unknown);
         CHECK(out->status() == 502);
-        const auto repeated = all.ask(again);
-        const auto first = all.client->sent.back();
+        const auto repeated = fixture.ask(again);
+        const auto first = fixture.client->sent.back();
         restart();
         first->lose(execution::unknown);
-        REQUIRE(all.sends() == 3);
-        all.last().answer(503, "", {{"Reedramp-Not-Executed", "1"}});
+        REQUIRE(fixture.sends() == 3);
+        fixture.last().answer(503, "", {{"Reedramp-Not-Executed", "1"}});
         CHECK(repeated->status() == 502);
         CHECK_FALSE(http::find_header(repeated->answer->headers, "Retry-After"));
     }
-    SECTION("what may run once is not sent again")
+    SECTION("a non-idempotent request is not sent again")
     {
-        const auto out = all.ask(once);
-        const auto first = all.client->sent.back();
+        const auto out = fixture.ask(once);
+        const auto first = fixture.client->sent.back();
         restart();
         first->lose(execution::unknown);
-        CHECK(all.sends() == 1);
+        CHECK(fixture.sends() == 1);
         CHECK(out->status() == 502);
     }
-    SECTION("of which nothing was sent, it goes to the new start")
+    SECTION("a request of which nothing was sent goes to the new instance")
     {
-        // Still true: the connection was closed before a byte of the request had left.
-        const auto out = all.ask(once);
-        const auto first = all.client->sent.back();
+        // The connection was closed before a byte of the request was sent, so the request is still
+        // not run.
+        const auto out = fixture.ask(once);
+        const auto first = fixture.client->sent.back();
         restart();
         first->lose(execution::not_run);
-        REQUIRE(all.sends() == 2);
-        all.last().answer(200, "answer");
+        REQUIRE(fixture.sends() == 2);
+        fixture.last().answer(200, "answer");
         CHECK(out->status() == 200);
     }
-    SECTION("refused by the start that took it, it goes to the new one")
+    SECTION("a request refused by the former instance goes to the new one")
     {
-        // Still true: the refusal came on the connection that the request went out on, which ends
-        // with the process that accepted it.
-        const auto out = all.ask(once);
-        const auto first = all.client->sent.back();
+        // The refusal arrived on the connection of the request, which ends with the process that
+        // accepted it, so the request is still not run.
+        const auto out = fixture.ask(once);
+        const auto first = fixture.client->sent.back();
         restart();
         first->answer(503, "", {{"Reedramp-Not-Executed", "1"}});
-        REQUIRE(all.sends() == 2);
-        all.last().answer(200, "answer");
+        REQUIRE(fixture.sends() == 2);
+        fixture.last().answer(200, "answer");
         CHECK(out->status() == 200);
     }
-    SECTION("that another has its address now is said of the earlier start")
+    SECTION("a misdirected request concerns only the former instance")
     {
-        all.ask(once);
-        const auto first = all.client->sent.back();
+        fixture.ask(once);
+        const auto first = fixture.client->sent.back();
         restart();
         first->answer(421, "");
-        CHECK(all.core->servers.find(common::server_id{"a"}) != nullptr);
+        CHECK(fixture.core->servers.find(common::server_id{"a"}) != nullptr);
     }
 }
 
-TEST_CASE("a broken stream goes on behind its last whole event", "[relay]")
+TEST_CASE("a broken stream is resumed after its last complete event", "[relay]")
 {
-    // The server breaks off inside event 2. The caller has the head and two events; it must get the
-    // rest from another server as one stream, with nothing doubled, lost or joined.
-    world all;
-    const auto out = all.ask(stream);
-    const auto first = all.client->sent.front();
+    // The server breaks off inside event 2. The caller has the head and two events. It must get the
+    // rest from another server as one stream, with no event repeated, lost or merged.
+    router_fixture fixture;
+    const auto out = fixture.ask(stream);
+    const auto first = fixture.client->sent.front();
     first->head(200, {{"Reedramp-Confidence", "90"}, {"X-Own", "first"}});
     first->chunk(event(0) + event(1) + "id: 2\nda");
     first->lose(execution::unknown);
-    REQUIRE(all.sends() == 2);
-    CHECK(all.last().header("Last-Event-Id") == "1");
-    CHECK(all.last().header("Reedramp-Model") == first->header("Reedramp-Model"));
-    all.last().head(200, {{"X-Own", "second"}});
-    all.last().chunk(event(2) + event(3));
-    all.last().end();
+    REQUIRE(fixture.sends() == 2);
+    CHECK(fixture.last().header("Last-Event-Id") == "1");
+    CHECK(fixture.last().header("Reedramp-Model") == first->header("Reedramp-Model"));
+    fixture.last().head(200, {{"X-Own", "second"}});
+    fixture.last().chunk(event(2) + event(3));
+    fixture.last().end();
     CHECK(out->events == event(0) + event(1) + event(2) + event(3));
     CHECK(http::find_header(out->answer->headers, "X-Own") == "first");
     CHECK(out->is_finished);
 }
 
-TEST_CASE("a stream that can't go on is broken off, never ended as if whole", "[relay]")
+TEST_CASE("a stream that can't be resumed is aborted, never ended normally", "[relay]")
 {
-    world all;
-    const auto out = all.ask(stream);
+    router_fixture fixture;
+    const auto out = fixture.ask(stream);
     for (int id = 0; id < 3; ++id) {
-        all.last().head(200, {{"Reedramp-Confidence", "90"}});
-        all.last().chunk(event(id));
-        all.last().lose(execution::unknown);
+        fixture.last().head(200, {{"Reedramp-Confidence", "90"}});
+        fixture.last().chunk(event(id));
+        fixture.last().lose(execution::unknown);
     }
-    CHECK(all.sends() == 3);
+    CHECK(fixture.sends() == 3);
     CHECK(out->is_aborted);
     CHECK_FALSE(out->is_finished);
 }
 
-TEST_CASE("a stream that falls silent is cancelled before it goes on elsewhere", "[relay]")
+TEST_CASE("a silent stream is cancelled before it is resumed at another server", "[relay]")
 {
-    // The server hangs in the middle of the stream with its connection open. Both runs together
-    // would work on one request.
-    world all;
-    const auto out = all.ask(stream);
-    const auto first = all.client->sent.front();
+    // The server hangs in the middle of the stream with its connection open. Without the
+    // cancellation, two servers would work on one request.
+    router_fixture fixture;
+    const auto out = fixture.ask(stream);
+    const auto first = fixture.client->sent.front();
     first->head(200, {{"Reedramp-Confidence", "90"}});
     first->chunk(event(0));
-    all.advance(milliseconds{900});
-    CHECK(all.sends() == 1);
-    all.advance(milliseconds{1000});
-    REQUIRE(all.sends() == 2);
+    fixture.advance(milliseconds{900});
+    CHECK(fixture.sends() == 1);
+    fixture.advance(milliseconds{1000});
+    REQUIRE(fixture.sends() == 2);
     CHECK(first->is_cancelled);
     first->chunk(event(1));
     CHECK(out->events == event(0));
 }
 
-TEST_CASE("a silent stream stays where it is while no second send may be made", "[relay]")
+TEST_CASE("a silent stream stays at its server if no further send is allowed", "[relay]")
 {
-    // All callers of a killed entry come back at once, the servers are busy with their prompts, and
-    // first events take longer than usual. With its budget of second sends used up, the entry
-    // dropped streams that were about to begin, and told their callers that they were broken.
-    world all;
-    all.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 0.0});
-    const auto out = all.ask(stream);
-    all.advance(seconds{3});
-    CHECK(all.sends() == 1);
+    // All callers of a killed entry return at once, the servers are busy with their prompts, and
+    // first events take longer than usual. An entry without retry budget must not abandon streams
+    // that are about to start, and report them as broken.
+    router_fixture fixture;
+    fixture.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 0.0});
+    const auto out = fixture.ask(stream);
+    fixture.advance(seconds{3});
+    CHECK(fixture.sends() == 1);
     CHECK(out->status() == 0);
-    CHECK_FALSE(all.last().is_cancelled);
-    all.last().head(200, {{"Reedramp-Confidence", "90"}});
-    all.last().chunk(event(0));
-    all.last().end();
+    CHECK_FALSE(fixture.last().is_cancelled);
+    fixture.last().head(200, {{"Reedramp-Confidence", "90"}});
+    fixture.last().chunk(event(0));
+    fixture.last().end();
     CHECK(out->events == event(0));
     CHECK(out->is_finished);
 }
 
 TEST_CASE(
-    "a stream that stalls again and again runs on no more servers than its route allows", "[relay]")
+    "a stream that stalls repeatedly runs on no more servers than its route allows", "[relay]")
 {
-    // Some servers take requests and hang, while their status checks are good. A stream whose small
-    // model's answer was dropped stalled at one of them after the other; each may have begun it,
-    // and it ran on four servers where its route allows three.
+    // Some servers accept requests and hang, while their health checks succeed. A stream whose
+    // small model's answer was dropped stalls at one after another. Each may have started it, so it
+    // must not run on four servers if its route allows three.
     for (const bool has_begun : {false, true}) {
         INFO("heads come " << has_begun);
-        world all;
-        all.add_server("d");
-        all.add_server("e");
-        const auto out = all.ask(stream, {{"Reedramp-Deadline-Ms", "9000"}});
-        all.last().head(200, {{"Reedramp-Confidence", "10"}});
-        REQUIRE(all.sends() == 2);
+        router_fixture fixture;
+        fixture.add_server("d");
+        fixture.add_server("e");
+        const auto out = fixture.ask(stream, {{"Reedramp-Deadline-Ms", "9000"}});
+        fixture.last().head(200, {{"Reedramp-Confidence", "10"}});
+        REQUIRE(fixture.sends() == 2);
         for (int i = 0; i < 3; ++i) {
-            if (has_begun && !all.last().is_cancelled) {
-                all.last().head(200, {{"Reedramp-Confidence", "90"}});
+            if (has_begun && !fixture.last().is_cancelled) {
+                fixture.last().head(200, {{"Reedramp-Confidence", "90"}});
             }
-            all.advance(seconds{2});
+            fixture.advance(seconds{2});
         }
-        CHECK(all.sends() == 3);
-        // The last one is all there is, and its answer is still taken.
-        CHECK_FALSE(all.last().is_cancelled);
-        all.last().head(200, {{"Reedramp-Confidence", "90"}});
-        all.last().chunk(event(0));
-        all.last().end();
+        CHECK(fixture.sends() == 3);
+        // The last attempt is kept, and its response is still accepted.
+        CHECK_FALSE(fixture.last().is_cancelled);
+        fixture.last().head(200, {{"Reedramp-Confidence", "90"}});
+        fixture.last().chunk(event(0));
+        fixture.last().end();
         CHECK(out->is_finished);
     }
 }
 
-TEST_CASE("a long prompt is given the time that it takes", "[relay]")
+TEST_CASE("a long prompt has a longer limit for its first event", "[relay]")
 {
-    // The largest prompts take seconds to read, the route's mean first event comes in a tenth of
-    // one. Left like a silent server, each was begun at three servers, and finished at none.
+    // The largest prompts take seconds to process, while the route's mean first event comes after a
+    // tenth of a second. With the limit of a silent server, each was started at three servers and
+    // finished at none.
     const auto sends_in_two_seconds = [](const std::string& tokens) {
-        world all;
+        router_fixture fixture;
         for (int i = 0; i < 50; ++i) {
-            all.core->paces[common::service_name{"engines"}].note(
+            fixture.core->speeds[common::service_name{"engines"}].note(
                 common::server_id{"z"}, milliseconds{100}, 1000.0);
         }
-        const auto out = all.ask(stream, {{"Reedramp-Tokens", tokens}});
-        all.advance(seconds{2});
-        return all.sends();
+        const auto out = fixture.ask(stream, {{"Reedramp-Tokens", tokens}});
+        fixture.advance(seconds{2});
+        return fixture.sends();
     };
     CHECK(sends_in_two_seconds("100,10") == 2);
     CHECK(sends_in_two_seconds("90000,10") == 1);
 }
 
-TEST_CASE(
-    "a stream that a caller resumes goes first, and back to the server that wrote it", "[relay]")
+TEST_CASE("a resumed stream is more urgent and returns to the server that started it", "[relay]")
 {
-    // An entry is killed, and all its callers come back at once. Those in the midst of a stream
-    // count the pause; the server that wrote the beginning still holds the whole prompt, while at
-    // any other one it is read anew, behind the prompts of all who come back.
-    world all;
+    // An entry is killed, and all its callers return at once. Callers of started streams notice the
+    // pause. The server that generated the beginning still has the whole prompt in its cache; any
+    // other one would process it again, after the prompts of all the other returning callers.
+    router_fixture fixture;
     const http::header prompt{"Reedramp-Prompt-Parts", "aa:500,bb:9000"};
     const http::header tokens{"Reedramp-Tokens", "9500,100"};
-    all.ask(stream, {prompt, tokens});
-    const auto first_server = all.last().header("Reedramp-Expect-Server");
-    const auto usual = std::stoi(all.last().header("Reedramp-Urgency"));
-    // That server has more to do than the part that others share would outweigh.
+    fixture.ask(stream, {prompt, tokens});
+    const auto first_server = fixture.last().header("Reedramp-Expect-Server");
+    const auto usual = std::stoi(fixture.last().header("Reedramp-Urgency"));
+    // That server has more work than the prompt part shared with other requests would save.
     constexpr double much = 8000.0;
-    all.core->loads.begin(common::server_id{first_server}, much);
-    all.ask(stream, {prompt, tokens});
-    CHECK(all.last().header("Reedramp-Expect-Server") != first_server);
-    all.ask(stream, {prompt, tokens, {"Last-Event-ID", "4"}});
-    CHECK(all.last().header("Reedramp-Expect-Server") == first_server);
-    CHECK(std::stoi(all.last().header("Reedramp-Urgency")) < usual);
+    fixture.core->loads.begin(common::server_id{first_server}, much);
+    fixture.ask(stream, {prompt, tokens});
+    CHECK(fixture.last().header("Reedramp-Expect-Server") != first_server);
+    fixture.ask(stream, {prompt, tokens, {"Last-Event-ID", "4"}});
+    CHECK(fixture.last().header("Reedramp-Expect-Server") == first_server);
+    CHECK(std::stoi(fixture.last().header("Reedramp-Urgency")) < usual);
 }
 
-TEST_CASE("an answer without end is left, and its server takes no memory", "[relay]")
+TEST_CASE("an endless response is abandoned and uses no more memory", "[relay]")
 {
-    world all;
-    all.core->options.longest_answer = 1000;
-    const auto out = all.ask(again);
-    const auto first = all.client->sent.front();
+    router_fixture fixture;
+    fixture.core->options.max_buffered_response = 1000;
+    const auto out = fixture.ask(again);
+    const auto first = fixture.client->sent.front();
     first->head(200);
     for (int i = 0; i < 11; ++i) {
         first->chunk(std::string(100, 'x'));
     }
     CHECK(first->is_cancelled);
-    REQUIRE(all.sends() == 2);
-    all.last().answer(200, "short");
+    REQUIRE(fixture.sends() == 2);
+    fixture.last().answer(200, "short");
     CHECK(out->answer->body == "short");
 }
 
-TEST_CASE("larger models leave second sends to requests that lose their server", "[relay]")
+TEST_CASE("larger models leave retries to requests that lose their server", "[relay]")
 {
-    world all;
-    all.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 9.0});
-    const auto first = all.ask(stream);
-    all.last().head(200, {{"Reedramp-Confidence", "10"}});
-    CHECK(all.sends() == 2);
-    const auto second = all.ask(stream);
-    all.last().head(200, {{"Reedramp-Confidence", "10"}});
-    CHECK(all.sends() == 3);
-    all.last().lose(execution::unknown);
-    CHECK(all.sends() == 4);
+    router_fixture fixture;
+    fixture.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 9.0});
+    const auto first = fixture.ask(stream);
+    fixture.last().head(200, {{"Reedramp-Confidence", "10"}});
+    CHECK(fixture.sends() == 2);
+    const auto second = fixture.ask(stream);
+    fixture.last().head(200, {{"Reedramp-Confidence", "10"}});
+    CHECK(fixture.sends() == 3);
+    fixture.last().lose(execution::unknown);
+    CHECK(fixture.sends() == 4);
 }
 
-TEST_CASE("an unsure small model's answer is dropped before the caller has any of it", "[relay]")
+TEST_CASE("a small model's unsure answer is dropped before the caller gets any of it", "[relay]")
 {
-    world all;
-    const auto out = all.ask(stream);
-    const auto small = all.client->sent.front();
+    router_fixture fixture;
+    const auto out = fixture.ask(stream);
+    const auto small = fixture.client->sent.front();
     CHECK(small->header("Reedramp-Model") == "s");
     small->head(200, {{"Reedramp-Confidence", "10"}});
-    REQUIRE(all.sends() == 2);
+    REQUIRE(fixture.sends() == 2);
     CHECK(small->is_cancelled);
-    CHECK(all.last().header("Reedramp-Model") == "l");
-    all.last().head(200, {{"Reedramp-Confidence", "10"}});
-    all.last().chunk(event(0));
-    all.last().end();
+    CHECK(fixture.last().header("Reedramp-Model") == "l");
+    fixture.last().head(200, {{"Reedramp-Confidence", "10"}});
+    fixture.last().chunk(event(0));
+    fixture.last().end();
     CHECK(out->events == event(0));
     CHECK(out->is_finished);
 }
 
-TEST_CASE("a caller's own choice of model stands", "[relay]")
+TEST_CASE("a caller's choice of model is kept", "[relay]")
 {
-    world all;
-    all.ask(stream, {{"Reedramp-Model", "x"}});
-    CHECK(all.last().header("Reedramp-Model") == "x");
-    all.last().head(200, {{"Reedramp-Confidence", "0"}});
-    CHECK(all.sends() == 1);
+    router_fixture fixture;
+    fixture.ask(stream, {{"Reedramp-Model", "x"}});
+    CHECK(fixture.last().header("Reedramp-Model") == "x");
+    fixture.last().head(200, {{"Reedramp-Confidence", "0"}});
+    CHECK(fixture.sends() == 1);
 }
 
-TEST_CASE("a caller that leaves ends its run", "[relay]")
+TEST_CASE("a caller that disconnects cancels its request", "[relay]")
 {
-    world all;
-    const auto out = all.ask(stream);
+    router_fixture fixture;
+    const auto out = fixture.ask(stream);
     out->leave_action();
-    CHECK(all.last().is_cancelled);
-    all.advance(seconds{20});
-    CHECK(all.sends() == 1);
-    CHECK(all.core->loads.tell().empty());
+    CHECK(fixture.last().is_cancelled);
+    fixture.advance(seconds{20});
+    CHECK(fixture.sends() == 1);
+    CHECK(fixture.core->loads.tell().empty());
 }
 
-TEST_CASE("at the time limit there is a final answer at once", "[relay]")
+TEST_CASE("at the time limit the caller gets a final response at once", "[relay]")
 {
-    // The smaller of the caller's and the route's time counts, and servers are handed what is left.
-    world all;
-    const auto waits = all.ask(once, {{"Reedramp-Deadline-Ms", "60000"}});
-    CHECK(all.last().header("Reedramp-Deadline-Ms") == "10000");
-    all.advance(milliseconds{9999});
+    // The shorter of the caller's and the route's limit counts, and servers are sent the remaining
+    // time.
+    router_fixture fixture;
+    const auto waits = fixture.ask(once, {{"Reedramp-Deadline-Ms", "60000"}});
+    CHECK(fixture.last().header("Reedramp-Deadline-Ms") == "10000");
+    fixture.advance(milliseconds{9999});
     CHECK(waits->status() == 0);
-    all.advance(milliseconds{1});
+    fixture.advance(milliseconds{1});
     CHECK(waits->status() == 504);
-    CHECK(all.last().is_cancelled);
+    CHECK(fixture.last().is_cancelled);
 }
 
-TEST_CASE("a second send hands on only the time that is left", "[relay]")
+TEST_CASE("a further send states only the remaining time", "[relay]")
 {
-    world all;
-    all.ask(again);
-    all.advance(milliseconds{2000});
-    all.last().lose(execution::unknown);
-    CHECK(all.last().header("Reedramp-Deadline-Ms") == "3000");
+    router_fixture fixture;
+    fixture.ask(again);
+    fixture.advance(milliseconds{2000});
+    fixture.last().lose(execution::unknown);
+    CHECK(fixture.last().header("Reedramp-Deadline-Ms") == "3000");
 }
 
-TEST_CASE("second sends stay within the budget", "[relay]")
+TEST_CASE("retries stay within the budget", "[relay]")
 {
-    // Every answer is lost. Without a bound each request would be sent twice, and a service that
+    // Every response is lost. Without a limit each request would be sent twice, and a service that
     // fails under its load would get twice the load.
-    world all;
-    all.core->change_retries({.retries_per_first_try = 0.1, .most_saved = 2.0});
+    router_fixture fixture;
+    fixture.core->change_retries({.retries_per_first_try = 0.1, .most_saved = 2.0});
     std::size_t seconds_sent = 0;
     for (int i = 0; i < 100; ++i) {
-        const auto before = all.sends();
-        const auto out = all.ask(again);
+        const auto before = fixture.sends();
+        const auto out = fixture.ask(again);
         while (out->status() == 0) {
-            all.last().lose(execution::unknown);
+            fixture.last().lose(execution::unknown);
         }
-        seconds_sent += all.sends() - before - 1;
+        seconds_sent += fixture.sends() - before - 1;
     }
     CHECK(seconds_sent >= 10);
     CHECK(seconds_sent <= 13);
 }
 
-TEST_CASE("a version that is barred gets nothing, also when it alone has servers", "[relay]")
+TEST_CASE("a barred version gets no requests, even if only it has servers", "[relay]")
 {
-    world all;
+    router_fixture fixture;
     for (const auto* id : {"a", "b", "c"}) {
-        all.core->servers.retire(common::server_id{id});
+        fixture.core->servers.retire(common::server_id{id});
     }
-    all.add_server("new", "v2");
+    fixture.add_server("new", "v2");
     const common::service_name engines{"engines"};
-    all.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, all.now);
-    all.core->rollouts.learn({engines, common::version_id{"v2"}, routing::rollout_state::reverted});
-    const auto out = all.ask(once);
-    CHECK(all.sends() == 0);
+    fixture.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, fixture.now);
+    fixture.core->rollouts.learn(
+        {engines, common::version_id{"v2"}, routing::rollout_state::reverted});
+    const auto out = fixture.ask(once);
+    CHECK(fixture.sends() == 0);
     CHECK(out->status() == 503);
 }
 
-TEST_CASE("a second send does not go to a version that was found bad meanwhile", "[relay]")
+TEST_CASE("a further send does not go to a version found bad meanwhile", "[relay]")
 {
-    // The request's first server, of the new version, loses it. By then the new version has been
-    // reverted; the caller's request must not be what it serves last.
-    world all;
+    // The request is lost at its first server, which runs the new version. By then the new version
+    // has been reverted, so the request must not be sent to it again.
+    router_fixture fixture;
     for (const auto* id : {"a", "b", "c"}) {
-        all.core->servers.retire(common::server_id{id});
+        fixture.core->servers.retire(common::server_id{id});
     }
-    all.add_server("new-1", "v2");
-    all.add_server("new-2", "v2");
+    fixture.add_server("new-1", "v2");
+    fixture.add_server("new-2", "v2");
     const common::service_name engines{"engines"};
-    all.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, all.now);
-    all.core->rollouts.learn({engines, common::version_id{"v2"}, routing::rollout_state::complete});
-    const auto out = all.ask(again);
-    REQUIRE(all.sends() == 1);
-    all.core->rollouts.learn({engines, common::version_id{"v2"}, routing::rollout_state::reverted});
-    all.last().lose(execution::unknown);
-    CHECK(all.sends() == 1);
+    fixture.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, fixture.now);
+    fixture.core->rollouts.learn(
+        {engines, common::version_id{"v2"}, routing::rollout_state::complete});
+    const auto out = fixture.ask(again);
+    REQUIRE(fixture.sends() == 1);
+    fixture.core->rollouts.learn(
+        {engines, common::version_id{"v2"}, routing::rollout_state::reverted});
+    fixture.last().lose(execution::unknown);
+    CHECK(fixture.sends() == 1);
     CHECK(out->status() == 502);
 }
 
--- a/source/unit_tests/router/answer_play.cpp
+++ b/source/unit_tests/router/response_simulation.cpp
@@ -1,4 +1,4 @@
-#include "answer_play.hpp"
+#include "response_simulation.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -15,26 +15,27 @@
 
 } // namespace
 
-answer_play::answer_play(const answer_play_shape& wanted)
+response_simulation::response_simulation(const response_simulation_options& wanted)
     : fleet({.entries = wanted.entries, .loss = wanted.loss, .seed = wanted.seed}),
-      random(wanted.seed), shape(wanted), taken(wanted.entries, 0), processes(wanted.entries, 0)
+      random(wanted.seed), options(wanted), collected(wanted.entries, 0),
+      processes(wanted.entries, 0)
 {
     for (const auto* server : {"a", "b", "c", "d"}) {
         this->fleet.remove(server);
     }
     for (std::size_t i = 0; i < wanted.servers; ++i) {
-        this->fleet.write(this->name_of(i));
+        this->fleet.write(this->server_name(i));
     }
     this->fleet.run(entries_settle);
     this->next_request = this->now();
 }
 
-auto answer_play::name_of(std::size_t server) const -> std::string
+auto response_simulation::server_name(std::size_t server) const -> std::string
 {
     return "s-" + std::to_string(server);
 }
 
-auto answer_play::ask() -> void
+auto response_simulation::ask() -> void
 {
     auto entry = this->random() % this->fleet.entries.size();
     while (this->fleet.entries[entry]->is_frozen) {
@@ -45,67 +46,67 @@
         this->fleet.entries[entry]->own.ask("/again/1", {{"Reedramp-Attempt-Id", attempt}}));
 }
 
-auto answer_play::start_anew(std::size_t entry) -> void
+auto response_simulation::restart(std::size_t entry) -> void
 {
-    this->fleet.start_anew(entry);
-    this->taken[entry] = 0;
+    this->fleet.restart(entry);
+    this->collected[entry] = 0;
     this->processes[entry] += 1;
 }
 
-auto answer_play::take_new_sends() -> void
+auto response_simulation::collect_sends() -> void
 {
     for (std::size_t i = 0; i < this->fleet.entries.size(); ++i) {
         const auto& sent = this->fleet.entries[i]->own.client->sent;
-        for (; this->taken[i] < sent.size(); ++this->taken[i]) {
-            const auto call = sent[this->taken[i]];
-            const arrival came{
+        for (; this->collected[i] < sent.size(); ++this->collected[i]) {
+            const auto call = sent[this->collected[i]];
+            const arrival arrived{
                 this->now(), i, call->header("Reedramp-Expect-Server"), this->processes[i]};
-            this->arrivals.push_back(came);
-            this->under_way.push_back({call, came, this->now() + answers_after});
+            this->arrivals.push_back(arrived);
+            this->in_flight.push_back({call, arrived, this->now() + answers_after});
         }
     }
 }
 
-auto answer_play::answer_due() -> void
+auto response_simulation::respond_due() -> void
 {
-    // An answer may lead to another send, which is taken in the next step.
-    for (const auto& one : std::exchange(this->under_way, {})) {
+    // A response may lead to another send, which is collected in the next step.
+    for (const auto& one : std::exchange(this->in_flight, {})) {
         if (one.ends_at > this->now()) {
-            this->under_way.push_back(one);
+            this->in_flight.push_back(one);
             continue;
         }
         if (!one.call->events.on_done) {
-            continue; // Its caller has left it.
+            continue; // Its caller has disconnected.
         }
-        const auto said = this->answer ? this->answer(one.came) : server_answer{};
-        this->given.push_back({this->now(), one.came, said.status});
-        one.call->answer(said.status, "whole", said.headers);
+        const auto response = this->respond ? this->respond(one.arrived) : server_response{};
+        this->responses.push_back({this->now(), one.arrived, response.status});
+        one.call->answer(response.status, "whole", response.headers);
     }
 }
 
-auto answer_play::run(milliseconds time) -> void
+auto response_simulation::run(milliseconds time) -> void
 {
     const auto between = std::chrono::duration_cast<common::duration>(seconds{1}) /
-                         static_cast<std::int64_t>(this->shape.per_second);
+                         static_cast<std::int64_t>(this->options.per_second);
     for (const auto until = this->now() + time; this->now() < until;) {
         for (; this->next_request <= this->now(); this->next_request += between) {
             this->ask();
         }
         this->fleet.run(step);
-        this->take_new_sends();
-        this->answer_due();
+        this->collect_sends();
+        this->respond_due();
     }
 }
 
-auto answer_play::had_answer(const arrival& one, common::time_point time) const -> bool
+auto response_simulation::had_response(const arrival& one, common::time_point time) const -> bool
 {
-    return std::ranges::any_of(this->given, [&](const given_answer& told) {
-        return told.at <= time && told.of.entry == one.entry && told.of.server == one.server &&
-               told.of.process == one.process;
+    return std::ranges::any_of(this->responses, [&](const received_response& response) {
+        return response.at <= time && response.of.entry == one.entry &&
+               response.of.server == one.server && response.of.process == one.process;
     });
 }
 
-auto answer_play::most_within(
+auto response_simulation::most_within(
     const std::string& server,
     milliseconds window,
     common::time_point from,
@@ -120,7 +121,7 @@
     return reedramp::testing::most_within(times, window);
 }
 
-auto answer_play::arrivals_at(const std::string& server, common::time_point from) const
+auto response_simulation::arrivals_at(const std::string& server, common::time_point from) const
     -> std::size_t
 {
     return static_cast<std::size_t>(std::ranges::count_if(this->arrivals, [&](const arrival& one) {
@@ -128,7 +129,7 @@
     }));
 }
 
-auto answer_play::with_status(int status) const -> std::size_t
+auto response_simulation::with_status(int status) const -> std::size_t
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         this->callers, [status](const auto& one) { return one->status() == status; }));
--- a/source/unit_tests/router/world.cpp
+++ b/source/unit_tests/router/router_fixture.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "router_fixture.hpp"
 
 #include <utility>
 
@@ -8,24 +8,24 @@
 
 auto route_of(const char* name, routing::request_kind kind, unsigned attempts) -> routing::route
 {
-    routing::route made;
-    made.name = routing::route_name{name};
-    made.host = "h";
-    made.path_prefix = std::string{"/"} + name + "/";
-    made.kind = kind;
-    made.timeout = seconds{10};
-    made.target = seconds{1};
-    made.longest_pause = milliseconds{800};
-    made.most_attempts = attempts;
-    made.targets = {{common::service_name{"engines"}, 1}};
-    return made;
+    routing::route route;
+    route.name = routing::route_name{name};
+    route.host = "h";
+    route.path_prefix = std::string{"/"} + name + "/";
+    route.kind = kind;
+    route.timeout = seconds{10};
+    route.target = seconds{1};
+    route.longest_pause = milliseconds{800};
+    route.most_attempts = attempts;
+    route.targets = {{common::service_name{"engines"}, 1}};
+    return route;
 }
 
 } // namespace
 
 auto sent_request::header(std::string_view name) const -> std::string
 {
-    return std::string{http::find_header(this->asked.headers, name).value_or("")};
+    return std::string{http::find_header(this->request.headers, name).value_or("")};
 }
 
 auto sent_request::head(std::uint16_t status, std::vector<http::header> extra) -> void
@@ -83,12 +83,12 @@
     ended.on_done(tl::unexpected(why));
 }
 
-auto fake_client::send(const http::endpoint& where, http::request asked, http::call_events events)
+auto fake_client::send(const http::endpoint& where, http::request request, http::call_events events)
     -> std::shared_ptr<http::call>
 {
     auto one = std::make_shared<sent_request>();
     one->where = where;
-    one->asked = std::move(asked);
+    one->request = std::move(request);
     one->events = std::move(events);
     this->sent.push_back(one);
     return one;
@@ -114,7 +114,7 @@
     return {std::move(rules), "text of version " + std::to_string(version)};
 }
 
-world::world()
+router_fixture::router_fixture()
 {
     router_hooks hooks;
     hooks.clock = [this] {
@@ -127,13 +127,13 @@
         return std::uint64_t{0};
     };
     this->core = std::make_shared<router_core>(std::move(hooks), router_options{}, this->client);
-    this->core->adopt(rules_of(1));
+    this->core->apply_rules(rules_of(1));
     for (const auto* id : {"a", "b", "c"}) {
         this->add_server(id);
     }
 }
 
-world::~world()
+router_fixture::~router_fixture()
 {
     this->timers.clear();
     for (const auto& one : this->client->sent) {
@@ -141,8 +141,8 @@
     }
 }
 
-auto world::add_server(const std::string& id, const std::string& version, std::uint64_t born)
-    -> void
+auto router_fixture::add_server(
+    const std::string& id, const std::string& version, std::uint64_t born) -> void
 {
     const common::server_id name{id};
     routing::registration read{
@@ -157,7 +157,7 @@
     this->core->servers.apply({name, std::move(read)});
 }
 
-auto world::advance(milliseconds time) -> void
+auto router_fixture::advance(milliseconds time) -> void
 {
     const auto until = this->now + time;
     while (!this->timers.empty() && this->timers.begin()->first <= until) {
@@ -169,14 +169,15 @@
     this->now = until;
 }
 
-auto world::ask(const std::string& path, std::vector<http::header> extra, const std::string& body)
+auto router_fixture::ask(
+    const std::string& path, std::vector<http::header> extra, const std::string& body)
     -> std::shared_ptr<caller>
 {
-    http::request asked;
-    asked.method = "POST";
-    asked.target = path;
-    asked.body = body;
-    asked.headers = {
+    http::request request;
+    request.method = "POST";
+    request.target = path;
+    request.body = body;
+    request.headers = {
         {"Host", "h"},
         {"Reedramp-Attempt-Id", "attempt-1"},
         {"Reedramp-Deadline-Ms", "5000"},
@@ -184,11 +185,11 @@
         {"Reedramp-Model", "*"}};
     for (auto& item : extra) {
         std::erase_if(
-            asked.headers, [&item](const auto& other) { return other.name == item.name; });
-        asked.headers.push_back(std::move(item));
+            request.headers, [&item](const auto& other) { return other.name == item.name; });
+        request.headers.push_back(std::move(item));
     }
     auto out = std::make_shared<caller>();
-    this->core->handle(std::move(asked), out);
+    this->core->handle(std::move(request), out);
     return out;
 }
 
--- a/source/unit_tests/router/world.hpp
+++ b/source/unit_tests/router/router_fixture.hpp
@@ -10,21 +10,21 @@
 #include "http/server.hpp"
 #include "router/router_core.hpp"
 
-/// A router's core with a clock, servers and callers that a test plays itself.
+/// Test fixture: a router core whose clock, servers and callers are controlled by the test.
 namespace reedramp::router::testing {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// One request that the core has sent to a server, and what the test lets that server do.
+/// A request that the core has sent to a server, with functions for the server's response.
 struct sent_request final : http::call {
     http::endpoint where;
-    http::request asked;
+    http::request request;
     http::call_events events;
     bool is_cancelled = false;
     bool is_calling = false;
 
-    /// As the real client does, drops the events, though not while one of them runs.
+    /// Drops the callbacks like the real client does, though not while one of them runs.
     auto cancel() -> void override
     {
         this->is_cancelled = true;
@@ -44,19 +44,19 @@
 
     [[nodiscard]] auto header(std::string_view name) const -> std::string;
 
-    /// Status line and headers of an answer; `extra` follows the ones that make it the server's
-    /// own.
+    /// Sends the status and headers of a response, signed by the server and for this attempt.
+    /// `extra` replaces or adds headers; an empty value removes one.
     auto head(std::uint16_t status, std::vector<http::header> extra = {}) -> void;
     auto chunk(const std::string& bytes) -> void;
     auto end() -> void;
-    /// A whole answer.
+    /// Sends a complete response.
     auto answer(std::uint16_t status, const std::string& body, std::vector<http::header> extra = {})
         -> void;
-    /// The connection ends; `run` says whether the request may have reached the server.
+    /// Ends the connection. `run` states whether the request may have reached the server.
     auto lose(common::execution run) -> void;
 };
 
-/// What a caller has got.
+/// A caller, with what it has received.
 struct caller final : http::responder {
     std::optional<http::response> answer;
     bool is_stream = false;
@@ -92,35 +92,35 @@
         this->leave_action = std::move(action);
     }
 
-    /// 0 before any answer.
+    /// Status of the response; 0 before any.
     [[nodiscard]] auto status() const -> int { return this->answer ? this->answer->status : 0; }
 };
 
-/// Takes requests for servers and keeps them for the test.
+/// HTTP client that records requests to servers for the test.
 struct fake_client final : http::client {
     std::vector<std::shared_ptr<sent_request>> sent;
 
-    auto send(const http::endpoint& where, http::request asked, http::call_events events)
+    auto send(const http::endpoint& where, http::request request, http::call_events events)
         -> std::shared_ptr<http::call> override;
 };
 
-/// Rules with three routes of host "h": /stream/ (resumable, models s and l, three attempts),
-/// /once/ (not idempotent, one attempt), /again/ (idempotent, two attempts); the organisation "org"
-/// with the key "key"; and servers a, b and c.
-class world {
+/// Fixture with rules for three routes of host "h": /stream/ (resumable, models s and l, three
+/// attempts), /once/ (not idempotent, one attempt), /again/ (idempotent, two attempts); the
+/// organisation "org" with the key "key"; and servers a, b and c.
+class router_fixture {
 public:
-    world();
-    /// Requests that a test leaves open hold their calls, and these the requests; the real client
-    /// ends its calls with its context.
-    ~world();
-    world(const world&) = delete;
-    world(world&&) = delete;
-    auto operator=(const world&) -> world& = delete;
-    auto operator=(world&&) -> world& = delete;
+    router_fixture();
+    /// Breaks the reference cycles between open requests and their calls. The real client ends its
+    /// calls with its context.
+    ~router_fixture();
+    router_fixture(const router_fixture&) = delete;
+    router_fixture(router_fixture&&) = delete;
+    auto operator=(const router_fixture&) -> router_fixture& = delete;
+    auto operator=(router_fixture&&) -> router_fixture& = delete;
 
     auto advance(milliseconds time) -> void;
 
-    /// A caller's request for `path`; `extra` replaces or adds headers.
+    /// Sends a caller's request for `path`. `extra` replaces or adds headers.
     auto
     ask(const std::string& path,
         std::vector<http::header> extra = {},
@@ -141,7 +141,7 @@
     std::shared_ptr<router_core> core;
 };
 
-/// `rules` of the world as version `version`.
+/// The fixture's rules as version `version`.
 auto rules_of(std::uint64_t version) -> published_rules;
 
 } // namespace reedramp::router::testing
