--- a/source/core/router/peer_message.cpp
+++ b/source/core/router/peer_message.cpp
@@ -27,7 +27,7 @@
 auto fill_mean_fields(capnp::List<float>::Builder to, const routing::evidence_report& from) -> void
 {
     unsigned at = 0;
-    const auto add = [&to, &at](const policy::known_mean& mean) {
+    const auto add = [&to, &at](const policy::sample_mean& mean) {
         to.set(at++, static_cast<float>(mean.value));
         to.set(at++, static_cast<float>(mean.count));
     };
@@ -38,12 +38,12 @@
 auto read_mean_fields(capnp::List<float>::Reader from, routing::evidence_report& to) -> void
 {
     unsigned at = 0;
-    const auto next = [&from, &at](policy::known_mean& mean) {
+    const auto next = [&from, &at](policy::sample_mean& mean) {
         const double value = from[at++];
         const double count = from[at++];
         // What is no number would stay in every sum.
         const bool is_valid = std::isfinite(value) && std::isfinite(count) && count >= 0.0;
-        mean = is_valid ? policy::known_mean{value, count} : policy::known_mean{};
+        mean = is_valid ? policy::sample_mean{value, count} : policy::sample_mean{};
     };
     std::ranges::for_each(to.old_means, next);
     std::ranges::for_each(to.usual_times, next);
--- a/source/unit_tests/router/relay_test.cpp
+++ b/source/unit_tests/router/relay_test.cpp
@@ -287,7 +287,7 @@
     // first events take longer than usual. An entry without retry budget must not abandon streams
     // that are about to start, and report them as broken.
     router_fixture fixture;
-    fixture.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 0.0});
+    fixture.core->change_retries({.retries_per_first_try = 0.0, .max_saved = 0.0});
     const auto out = fixture.ask(stream);
     fixture.advance(seconds{3});
     CHECK(fixture.sends() == 1);
@@ -389,7 +389,7 @@
 TEST_CASE("larger models leave retries to requests that lose their server", "[relay]")
 {
     router_fixture fixture;
-    fixture.core->change_retries({.retries_per_first_try = 0.0, .most_saved = 9.0});
+    fixture.core->change_retries({.retries_per_first_try = 0.0, .max_saved = 9.0});
     const auto first = fixture.ask(stream);
     fixture.last().head(200, {{"Reedramp-Confidence", "10"}});
     CHECK(fixture.sends() == 2);
@@ -465,7 +465,7 @@
     // Every response is lost. Without a limit each request would be sent twice, and a service that
     // fails under its load would get twice the load.
     router_fixture fixture;
-    fixture.core->change_retries({.retries_per_first_try = 0.1, .most_saved = 2.0});
+    fixture.core->change_retries({.retries_per_first_try = 0.1, .max_saved = 2.0});
     std::size_t seconds_sent = 0;
     for (int i = 0; i < 100; ++i) {
         const auto before = fixture.sends();
