--- a/source/agent/agent_process.cpp
+++ b/source/agent/agent_process.cpp
@@ -19,13 +19,13 @@
 constexpr common::duration tick_period = std::chrono::milliseconds(100);
 constexpr common::duration idle_check_period = std::chrono::milliseconds(20);
 
-auto not_yet() -> common::error
+auto not_registered_error() -> common::error
 {
-    return make_error(result_code::not_ready, "not registered yet");
+    return make_error(result_code::not_ready, "agent is not registered yet");
 }
 
-/// What a run gets before there is a core.
-class no_run final : public messages::run_handle {
+/// Handle of a run that was refused before the core existed.
+class inert_run_handle final : public messages::run_handle {
 public:
     auto cancel() -> void override {}
 
@@ -36,14 +36,14 @@
 
 } // namespace
 
-agent_process::agent_process(agent_settings wanted)
-    : settings(std::move(wanted)), threads(settings.threads)
+agent_process::agent_process(agent_settings initial_settings)
+    : settings(std::move(initial_settings)), threads(settings.threads)
 {
 }
 
 agent_process::~agent_process()
 {
-    // What calls into the others ends first.
+    // Components that call into others are destroyed before them.
     this->http.reset();
     this->rpc.reset();
     if (this->follower) {
@@ -53,14 +53,14 @@
     this->peers.reset();
 }
 
-auto agent_process::start(std::function<auto()->void> serving) -> common::result<void>
+auto agent_process::start(std::function<auto()->void> on_serving) -> common::result<void>
 {
     this->threads.start();
     this->log = this->make_log();
-    wire::client_options calls;
-    calls.shared_key = this->settings.shared_key;
-    calls.now = daemon::boot_time;
-    this->peers = wire::rpc_client::create(calls);
+    wire::client_options peer_options;
+    peer_options.shared_key = this->settings.shared_key;
+    peer_options.now = daemon::boot_time;
+    this->peers = wire::rpc_client::create(peer_options);
     auto client = http::client::create(this->threads.next_context(), {});
     this->hosts = std::make_shared<membership::host_watch>(
         membership::location{this->settings.host, this->settings.data_centre, {}},
@@ -79,7 +79,7 @@
     }
     this->hosts->start();
     this->follower->start();
-    this->register_self(std::move(serving));
+    this->register_self(std::move(on_serving));
     return {};
 }
 
@@ -87,11 +87,11 @@
 {
     http::client_options options;
     options.idle_timeout = this->settings.log_timeout;
-    platform::http_log_options where;
-    where.where = this->settings.log;
-    where.longest_wait = this->settings.log_timeout;
+    platform::http_log_options log_options;
+    log_options.where = this->settings.log;
+    log_options.longest_wait = this->settings.log_timeout;
     auto client = http::client::create(this->threads.next_context(), options);
-    return platform::make_http_log(std::move(client), where);
+    return platform::make_http_log(std::move(client), log_options);
 }
 
 auto agent_process::make_follower() -> std::shared_ptr<inventory::follower>
@@ -126,7 +126,7 @@
     return this->core.load();
 }
 
-auto agent_process::agent_hooks() -> messages::agent_service
+auto agent_process::make_agent_service() -> messages::agent_service
 {
     messages::agent_service offered;
     offered.run = [this](
@@ -135,8 +135,8 @@
         if (const auto running = this->current_core()) {
             return running->service().run(std::move(request), std::move(sink));
         }
-        this->threads.post([sink] { sink(messages::refused_event{not_yet(), {}}); });
-        return std::make_shared<no_run>();
+        this->threads.post([sink] { sink(messages::refused_event{not_registered_error(), {}}); });
+        return std::make_shared<inert_run_handle>();
     };
     offered.ask = [this](
                       messages::outcome_query query,
@@ -145,7 +145,7 @@
             running->service().ask(query, std::move(done));
             return;
         }
-        done(tl::unexpected(not_yet()));
+        done(tl::unexpected(not_registered_error()));
     };
     offered.probe = [this](
                         messages::probe_request request,
@@ -154,7 +154,7 @@
             running->service().probe(request, std::move(done));
             return;
         }
-        done(tl::unexpected(not_yet()));
+        done(tl::unexpected(not_registered_error()));
     };
     return offered;
 }
@@ -172,7 +172,8 @@
                     const messages::answer_hook<messages::configuration_push>& done) {
         done(follower->answer(pull));
     };
-    auto opened = wire::rpc_server::start(std::move(options), this->agent_hooks(), std::move(peer));
+    auto opened =
+        wire::rpc_server::start(std::move(options), this->make_agent_service(), std::move(peer));
     if (!opened) {
         return tl::unexpected(opened.error());
     }
@@ -207,8 +208,8 @@
     auto opened = http::server::open(
         this->threads.contexts(),
         std::move(options),
-        [api](const http::request& asked, const std::shared_ptr<http::responder>& out) {
-            api->handle(asked, out);
+        [api](const http::request& request, const std::shared_ptr<http::responder>& responder) {
+            api->handle(request, responder);
         });
     if (!opened) {
         return tl::unexpected(opened.error());
@@ -217,29 +218,30 @@
     return {};
 }
 
-auto agent_process::register_self(std::function<auto()->void> serving) -> void
+auto agent_process::register_self(std::function<auto()->void> on_serving) -> void
 {
     agent::registration_hooks hooks{
         this->log, this->threads.timers(), daemon::boot_time, daemon::random_bits};
     const agent::registration_record record{
         this->settings.server, this->settings.host, this->rpc_address(), daemon::wall_time()};
-    const auto asked_at = daemon::boot_time();
+    const auto requested_at = daemon::boot_time();
     agent::register_agent(
         std::move(hooks),
         record,
         daemon::boot_time() + this->settings.registration_limit,
-        [this, record, asked_at, serving = std::move(serving)](common::incarnation_id incarnation) {
+        [this, record, requested_at, on_serving = std::move(on_serving)](
+            common::incarnation_id incarnation) {
             this->make_core(incarnation);
-            this->start_orders(record, incarnation, asked_at);
-            this->tick_later();
-            serving();
+            this->start_engine_control(record, incarnation, requested_at);
+            this->schedule_tick();
+            on_serving();
         });
 }
 
 auto agent_process::make_core(common::incarnation_id incarnation) -> void
 {
     http::client_options options;
-    options.idle_timeout = this->settings.backend_idle;
+    options.idle_timeout = this->settings.backend_idle_timeout;
     const auto backend =
         std::make_shared<backend_client>(this->threads.contexts(), this->settings.backend, options);
     agent::core_hooks hooks;
@@ -248,15 +250,15 @@
     hooks.post = [this](std::function<auto()->void> action) {
         this->threads.post(std::move(action));
     };
-    hooks.start = backend->hook();
+    hooks.start = backend->make_start_hook();
     hooks.snapshot = [from = this->follower] {
         return from->snapshot();
     };
     hooks.current_until = [from = this->follower] {
         return from->current_until();
     };
-    hooks.fetch_configuration = [from = this->follower](common::log_offset wanted) {
-        from->expect(wanted);
+    hooks.fetch_configuration = [from = this->follower](common::log_offset offset) {
+        from->expect(offset);
     };
     hooks.report_usage = [this](const agent::usage_report& report) {
         this->metrics.count_usage(report);
@@ -265,45 +267,45 @@
     core_options.incarnation = incarnation;
     auto made = agent::core::create(std::move(core_options), std::move(hooks));
     this->core = made;
-    // A shutdown may have begun before there was a core.
+    // A shutdown may have begun before the core existed.
     if (this->leaving) {
         made->drain();
     }
 }
 
-auto agent_process::start_orders(
+auto agent_process::start_engine_control(
     const agent::registration_record& record,
     common::incarnation_id incarnation,
-    common::time_point asked_at) -> void
+    common::time_point requested_at) -> void
 {
     const auto has_lease = (incarnation.value() & agent::random_incarnation_bit) == 0;
     if (!has_lease || !this->settings.weights) {
         return;
     }
-    engine_control::parts parts;
+    engine_control::collaborators parts;
     parts.server = this->settings.server;
     parts.registration = agent::format_registration(record);
     parts.engine = this->settings.backend;
     parts.weight_bytes = this->settings.weight_bytes;
     http::client_options options;
-    // Loading and fetching answer when they are done.
+    // Requests to load or fetch weights are answered only after they are done.
     options.idle_timeout = std::chrono::minutes(2);
     parts.client = http::client::create(this->threads.next_context(), options);
     parts.log = this->log;
     parts.weights = platform::make_http_weights(parts.client, *this->settings.weights);
     parts.now = daemon::boot_time;
-    this->orders = std::make_shared<engine_control>(
-        std::move(parts), common::log_offset{incarnation.value()}, asked_at);
+    this->engine = std::make_shared<engine_control>(
+        std::move(parts), common::log_offset{incarnation.value()}, requested_at);
 }
 
-auto agent_process::tick_later() -> void
+auto agent_process::schedule_tick() -> void
 {
     this->threads.timers()(daemon::boot_time() + tick_period, [this] {
         this->current_core()->tick();
-        if (this->orders && !this->leaving) {
-            this->orders->tick(*this->follower->snapshot());
+        if (this->engine && !this->leaving) {
+            this->engine->tick(*this->follower->snapshot());
         }
-        this->tick_later();
+        this->schedule_tick();
     });
 }
 
@@ -317,7 +319,7 @@
     return this->http->port();
 }
 
-auto agent_process::shut_down(std::function<auto(std::size_t cut)->void> done) -> void
+auto agent_process::shut_down(std::function<auto(std::size_t failed_runs)->void> done) -> void
 {
     this->leaving = true;
     if (const auto running = this->current_core()) {
@@ -327,25 +329,28 @@
 }
 
 auto agent_process::wait_until_idle(
-    common::time_point limit, std::function<auto(std::size_t cut)->void> done) -> void
+    common::time_point limit, std::function<auto(std::size_t failed_runs)->void> done) -> void
 {
     const auto running = this->current_core();
     const auto now = daemon::boot_time();
     if (!running || running->is_idle() || now >= limit) {
-        const auto cut = running ? running->fail_all_runs() : 0;
-        // Entries may still ask what became of a run whose answer they lost.
-        this->threads.timers()(
-            now + this->settings.drain_linger, [this, cut, done] { this->close_rpc(cut, done); });
+        const auto failed_runs = running ? running->fail_all_runs() : 0;
+        // Entries may still query the outcomes of runs whose answers they lost.
+        this->threads.timers()(now + this->settings.drain_linger, [this, failed_runs, done] {
+            this->close_rpc(failed_runs, done);
+        });
         return;
     }
     this->threads.timers()(
         now + idle_check_period, [this, limit, done] { this->wait_until_idle(limit, done); });
 }
 
-auto agent_process::close_rpc(std::size_t cut, std::function<auto(std::size_t cut)->void> done)
-    -> void
+auto agent_process::close_rpc(
+    std::size_t failed_runs, std::function<auto(std::size_t failed_runs)->void> done) -> void
 {
-    this->rpc->drain([this, cut, done] { this->threads.post([cut, done] { done(cut); }); });
+    this->rpc->drain([this, failed_runs, done] {
+        this->threads.post([failed_runs, done] { done(failed_runs); });
+    });
 }
 
 } // namespace reedramp::agent_program
--- a/source/agent/agent_process.hpp
+++ b/source/agent/agent_process.hpp
@@ -21,26 +21,27 @@
 
 namespace reedramp::agent_program {
 
-/// The whole process: connects the core to sockets, threads and timers. It decides nothing.
+/// The agent's process: connects the core to sockets, threads and timers.
 ///
-/// The listeners open first, so that their ports are known; until the incarnation is known the
-/// agent refuses all, which is true of each key, since no key can name this life yet.
+/// The listeners are opened first, so that their ports are known for the registration. Until the
+/// incarnation is known, all requests are refused; that is correct for every run key, since no key
+/// can contain this incarnation yet.
 class agent_process {
 public:
-    explicit agent_process(agent_settings wanted);
+    explicit agent_process(agent_settings initial_settings);
     ~agent_process();
     agent_process(const agent_process&) = delete;
     agent_process(agent_process&&) = delete;
     auto operator=(const agent_process&) -> agent_process& = delete;
     auto operator=(agent_process&&) -> agent_process& = delete;
 
-    /// Opens the listeners and starts to register and to follow the configuration. `serving` is
-    /// called once, when there is an incarnation.
-    auto start(std::function<auto()->void> serving) -> common::result<void>;
+    /// Opens the listeners and starts registration and the configuration follower. `on_serving` is
+    /// called once, when the incarnation is known.
+    auto start(std::function<auto()->void> on_serving) -> common::result<void>;
 
-    /// Drains, waits for the runs within the limit, and calls `done` with the number of runs that
-    /// were cut. Later calls do nothing.
-    auto shut_down(std::function<auto(std::size_t cut)->void> done) -> void;
+    /// Drains, waits for the runs up to the drain limit, and calls `done` with the number of runs
+    /// that were failed at the limit. Call once.
+    auto shut_down(std::function<auto(std::size_t failed_runs)->void> done) -> void;
 
     [[nodiscard]] auto rpc_address() const -> std::string;
     [[nodiscard]] auto http_port() const -> std::uint16_t;
@@ -52,18 +53,20 @@
     auto make_log() -> platform::log_hooks;
     auto open_rpc() -> common::result<void>;
     auto open_http() -> common::result<void>;
-    auto register_self(std::function<auto()->void> serving) -> void;
+    auto register_self(std::function<auto()->void> on_serving) -> void;
     auto make_core(common::incarnation_id incarnation) -> void;
-    /// Begins to give the engine orders, if there is a lease and a weight store.
-    auto start_orders(
+    /// Starts to send orders to the engine if the incarnation is a log offset, which is the lease,
+    /// and a weight store is configured.
+    auto start_engine_control(
         const agent::registration_record& record,
         common::incarnation_id incarnation,
-        common::time_point asked_at) -> void;
-    auto agent_hooks() -> messages::agent_service;
-    auto tick_later() -> void;
-    auto wait_until_idle(common::time_point limit, std::function<auto(std::size_t cut)->void> done)
+        common::time_point requested_at) -> void;
+    auto make_agent_service() -> messages::agent_service;
+    auto schedule_tick() -> void;
+    auto wait_until_idle(
+        common::time_point limit, std::function<auto(std::size_t failed_runs)->void> done) -> void;
+    auto close_rpc(std::size_t failed_runs, std::function<auto(std::size_t failed_runs)->void> done)
         -> void;
-    auto close_rpc(std::size_t cut, std::function<auto(std::size_t cut)->void> done) -> void;
     [[nodiscard]] auto current_core() const -> std::shared_ptr<agent::core>;
 
     const agent_settings settings;
@@ -74,8 +77,8 @@
     std::shared_ptr<inventory::follower> follower;
     platform::log_hooks log;
     std::atomic<std::shared_ptr<agent::core>> core;
-    /// Set before the ticks begin; empty if the engine gets no orders.
-    std::shared_ptr<engine_control> orders;
+    /// Set before the first tick; null if the engine gets no orders.
+    std::shared_ptr<engine_control> engine;
     std::atomic<bool> leaving = false;
     std::unique_ptr<wire::rpc_server> rpc;
     std::unique_ptr<http::server> http;
--- a/source/agent/backend_client.cpp
+++ b/source/agent/backend_client.cpp
@@ -47,14 +47,14 @@
     const std::vector<boost::asio::io_context*>& contexts,
     http::endpoint backend,
     const http::client_options& options)
-    : where(std::move(backend))
+    : endpoint(std::move(backend))
 {
     for (auto* context : contexts) {
         this->clients.push_back(http::client::create(*context, options));
     }
 }
 
-auto backend_client::hook() -> agent::start_call_hook
+auto backend_client::make_start_hook() -> agent::start_call_hook
 {
     return
         [self = this->shared_from_this()](agent::backend_call call, agent::backend_events events) {
@@ -65,18 +65,18 @@
 auto backend_client::start(agent::backend_call call, agent::backend_events events)
     -> std::shared_ptr<agent::backend_handle>
 {
-    http::call_events passed_on;
-    passed_on.on_head = [head = std::move(events.head)](const http::response& answer) {
+    http::call_events callbacks;
+    callbacks.on_head = [head = std::move(events.head)](const http::response& answer) {
         head(to_head(answer));
     };
-    passed_on.on_chunk = std::move(events.chunk);
-    passed_on.on_done = [done = std::move(events.done)](common::result<http::response> answer) {
+    callbacks.on_chunk = std::move(events.chunk);
+    callbacks.on_done = [done = std::move(events.done)](common::result<http::response> answer) {
         done(answer ? common::result<void>{} : tl::unexpected(answer.error()));
     };
-    const auto number = this->turn.fetch_add(1, std::memory_order_relaxed);
+    const auto number = this->next_client.fetch_add(1, std::memory_order_relaxed);
     auto& client = this->clients[number % this->clients.size()];
     return std::make_shared<http_handle>(
-        client->send(this->where, to_request(std::move(call)), std::move(passed_on)));
+        client->send(this->endpoint, to_request(std::move(call)), std::move(callbacks)));
 }
 
 } // namespace reedramp::agent_program
--- a/source/agent/engine_control.cpp
+++ b/source/agent/engine_control.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint16_t status_ok = 200;
 constexpr std::uint16_t status_conflict = 409;
 
-auto loaded_of(const common::result<http::response>& answer)
+auto parse_loaded_versions(const common::result<http::response>& answer)
     -> common::result<std::set<common::version_id>>
 {
     if (!answer) {
@@ -27,7 +27,7 @@
     const auto body = platform::parse_object(answer->body);
     const auto* versions = body ? platform::array_field(*body, "versions") : nullptr;
     if (answer->status != status_ok || versions == nullptr) {
-        return failure(result_code::server_failed, "no report of load");
+        return failure(result_code::server_failed, "malformed report of loaded versions");
     }
     std::set<common::version_id> loaded;
     for (const auto& item : *versions) {
@@ -38,7 +38,7 @@
     return loaded;
 }
 
-auto outcome_of(const common::result<http::response>& answer) -> common::result<void>
+auto order_result(const common::result<http::response>& answer) -> common::result<void>
 {
     if (!answer) {
         return tl::unexpected(answer.error());
@@ -55,15 +55,15 @@
 auto order_request(const control::give_order& step) -> http::request
 {
     const auto is_load = step.order.action == control::order_action::load;
-    http::request asked;
-    asked.method = "POST";
-    asked.target = "/orders";
-    asked.headers.push_back({"Content-Type", "application/json"});
-    asked.body = boost::json::serialize(boost::json::object{
+    http::request request;
+    request.method = "POST";
+    request.target = "/orders";
+    request.headers.push_back({"Content-Type", "application/json"});
+    request.body = boost::json::serialize(boost::json::object{
         {"action", is_load ? "load" : "unload"},
         {"version", step.order.version.value()},
         {"fencing", step.fencing}});
-    return asked;
+    return request;
 }
 
 } // namespace
@@ -85,42 +85,44 @@
     return plan;
 }
 
-engine_control::engine_control(parts given, common::log_offset lease, common::time_point asked_at)
-    : with(std::move(given)), orders(control::order_settings{}, lease, asked_at, this->with.now()),
-      registrations(this->with.server, this->with.registration, lease)
+engine_control::engine_control(
+    collaborators given, common::log_offset lease, common::time_point asked_at)
+    : parts(std::move(given)),
+      orders(control::order_settings{}, lease, asked_at, this->parts.now()),
+      registrations(this->parts.server, this->parts.registration, lease)
 {
 }
 
 auto engine_control::tick(const inventory::state& current) -> void
 {
-    const auto plan = plan_for(current, this->with.server);
+    const auto plan = plan_for(current, this->parts.server);
     if (plan.wanted.empty()) {
-        // Perhaps a plain service, for which a look at its load would be a run.
+        // This may be a plain service, for which GET /load would be an ordinary call.
         return;
     }
-    for (const auto& step : this->orders.tick(plan, this->with.now())) {
-        std::visit([this](const auto& item) { this->carry_out(item); }, step);
+    for (const auto& step : this->orders.tick(plan, this->parts.now())) {
+        std::visit([this](const auto& item) { this->execute(item); }, step);
     }
 }
 
-auto engine_control::carry_out(const control::read_registrations& step) -> void
+auto engine_control::execute(const control::read_registrations& step) -> void
 {
     common::log_offset after;
     {
         const std::lock_guard guard(this->lock);
         after = this->registrations.read_after();
     }
-    this->with.log.read(
+    this->parts.log.read(
         platform::streams::registrations,
         after,
         std::chrono::milliseconds(0),
         [self = this->shared_from_this(),
          step](const common::result<platform::read_answer>& answer) {
-            self->take_registrations(step, answer);
+            self->on_registrations(step, answer);
         });
 }
 
-auto engine_control::take_registrations(
+auto engine_control::on_registrations(
     const control::read_registrations& step, const common::result<platform::read_answer>& answer)
     -> void
 {
@@ -130,33 +132,33 @@
         newest = this->registrations.apply(*answer);
     }
     if (newest && *newest == common::log_offset{}) {
-        this->carry_out(step);
+        this->execute(step);
         return;
     }
-    this->orders.on_registrations(step.ticket, newest, this->with.now());
+    this->orders.on_registrations(step.ticket, newest, this->parts.now());
 }
 
-auto engine_control::carry_out(const control::read_engine& step) -> void
+auto engine_control::execute(const control::read_engine& step) -> void
 {
-    http::request asked;
-    asked.method = "GET";
-    asked.target = "/load";
+    http::request request;
+    request.method = "GET";
+    request.target = "/load";
     http::call_events events;
     events.on_done = [self = this->shared_from_this(),
                       step](const common::result<http::response>& answer) {
-        self->orders.on_engine(step.ticket, loaded_of(answer), self->with.now());
+        self->orders.on_engine(step.ticket, parse_loaded_versions(answer), self->parts.now());
     };
-    this->with.client->send(this->with.engine, std::move(asked), std::move(events));
+    this->parts.client->send(this->parts.engine, std::move(request), std::move(events));
 }
 
-auto engine_control::carry_out(const control::fetch_weights& step) -> void
+auto engine_control::execute(const control::fetch_weights& step) -> void
 {
-    this->with.weights.fetch(
+    this->parts.weights.fetch(
         step.version,
-        this->with.weight_bytes,
+        this->parts.weight_bytes,
         [self = this->shared_from_this(),
          step](const common::result<platform::weight_answer>& answer) {
-            const auto now = self->with.now();
+            const auto now = self->parts.now();
             common::result<void> outcome;
             if (!answer) {
                 outcome = tl::unexpected(answer.error());
@@ -170,9 +172,9 @@
         });
 }
 
-auto engine_control::carry_out(const control::give_order& step) -> void
+auto engine_control::execute(const control::give_order& step) -> void
 {
-    const auto now = this->with.now();
+    const auto now = this->parts.now();
     if (!this->orders.authorise(step.ticket, now)) {
         this->orders.on_order(step.ticket, failure(result_code::lease_lost), now);
         return;
@@ -180,9 +182,9 @@
     http::call_events events;
     events.on_done = [self = this->shared_from_this(),
                       step](const common::result<http::response>& answer) {
-        self->orders.on_order(step.ticket, outcome_of(answer), self->with.now());
+        self->orders.on_order(step.ticket, order_result(answer), self->parts.now());
     };
-    this->with.client->send(this->with.engine, order_request(step), std::move(events));
+    this->parts.client->send(this->parts.engine, order_request(step), std::move(events));
 }
 
 } // namespace reedramp::agent_program
--- a/source/agent/engine_control.hpp
+++ b/source/agent/engine_control.hpp
@@ -16,20 +16,21 @@
 
 namespace reedramp::agent_program {
 
-/// What the configuration says of an engine: load what is listed for it and not withdrawn. What is
-/// withdrawn is not unloaded: a run under way may need it to its end.
+/// Derives an engine's plan from the configuration: it should load the versions listed for it that
+/// are not withdrawn. Withdrawn versions are not unloaded, since runs in flight may still use them.
 auto plan_for(const inventory::state& current, const common::server_id& server)
     -> control::engine_plan;
 
-/// Connects `control::engine_orders` to the engine, the log and the weight store.
+/// Connects `control::engine_orders` to the engine, the log and the weight store. Kept alive by its
+/// pending callbacks.
 class engine_control : public std::enable_shared_from_this<engine_control> {
 public:
-    struct parts {
+    struct collaborators {
         common::server_id server;
-        /// This process's own registration record, as it is in the log.
+        /// Text of this process's own registration record in the log.
         std::string registration;
         http::endpoint engine;
-        /// Bytes of one version in the weight store.
+        /// Size of one version's weights.
         std::uint64_t weight_bytes = 0;
         std::shared_ptr<http::client> client;
         platform::log_hooks log;
@@ -37,22 +38,22 @@
         common::clock_hook now;
     };
 
-    /// `lease` and times as for `control::engine_orders`.
-    engine_control(parts given, common::log_offset lease, common::time_point asked_at);
+    /// `lease` and `asked_at`: see `control::engine_orders`.
+    engine_control(collaborators given, common::log_offset lease, common::time_point asked_at);
 
-    /// Call it several times a second.
+    /// Executes the next steps for the plan of this engine. Call several times a second.
     auto tick(const inventory::state& current) -> void;
 
 private:
-    auto carry_out(const control::read_registrations& step) -> void;
-    auto carry_out(const control::read_engine& step) -> void;
-    auto carry_out(const control::fetch_weights& step) -> void;
-    auto carry_out(const control::give_order& step) -> void;
-    auto take_registrations(
+    auto execute(const control::read_registrations& step) -> void;
+    auto execute(const control::read_engine& step) -> void;
+    auto execute(const control::fetch_weights& step) -> void;
+    auto execute(const control::give_order& step) -> void;
+    auto on_registrations(
         const control::read_registrations& step,
         const common::result<platform::read_answer>& answer) -> void;
 
-    const parts with;
+    const collaborators parts;
     control::engine_orders orders;
 
     std::mutex lock;
--- a/source/agent/main.cpp
+++ b/source/agent/main.cpp
@@ -12,8 +12,8 @@
 #include "daemon/signals.hpp"
 #include "settings.hpp"
 
-/// The process beside a backend server. One JSON line on standard output tells its addresses once
-/// it serves; SIGTERM drains it.
+/// The agent process beside a backend server. Prints its addresses as one JSON line on standard
+/// output once it serves; SIGTERM starts a graceful shutdown.
 namespace {
 
 using namespace reedramp;
@@ -25,9 +25,9 @@
               << std::endl;
 }
 
-auto run(agent_program::agent_settings wanted) -> daemon::exit_code
+auto run(agent_program::agent_settings settings) -> daemon::exit_code
 {
-    agent_program::agent_process process(std::move(wanted));
+    agent_program::agent_process process(std::move(settings));
     const auto started =
         process.start([&process] { print_addresses(process, process.http_port()); });
     if (!started) {
@@ -36,13 +36,13 @@
     }
     std::promise<std::size_t> ended;
     const daemon::shutdown_signals signals(*process.pool().contexts().front(), [&] {
-        process.shut_down([&ended](std::size_t cut) { ended.set_value(cut); });
+        process.shut_down([&ended](std::size_t failed_runs) { ended.set_value(failed_runs); });
     });
-    const auto cut = ended.get_future().get();
+    const auto failed_runs = ended.get_future().get();
     common::log(
         common::log_part::agent,
-        cut == 0 ? common::log_level::info : common::log_level::warning,
-        "stopped; runs cut count=" + std::to_string(cut));
+        failed_runs == 0 ? common::log_level::info : common::log_level::warning,
+        "stopped; runs cut count=" + std::to_string(failed_runs));
     return daemon::exit_code::success;
 }
 
@@ -52,7 +52,7 @@
 {
     const daemon::program about{
         "reedramp-agent",
-        "The process beside a backend server: the last gate before it",
+        "The agent of a backend server: checks, queues and runs its requests",
         agent_program::settings_schema()};
     const auto given =
         daemon::read_command_line(about, argument_count, arguments, std::cout, std::cerr);
@@ -60,11 +60,11 @@
         return static_cast<int>(*code);
     }
     const auto& values = std::get<settings::values>(given);
-    auto wanted = agent_program::read_settings(values);
-    if (!wanted) {
-        std::cerr << "settings: " << wanted.error().detail << "\n";
+    auto settings = agent_program::read_settings(values);
+    if (!settings) {
+        std::cerr << "settings: " << settings.error().detail << "\n";
         return static_cast<int>(daemon::exit_code::bad_settings);
     }
     daemon::start_logging(arguments[0], daemon::parse_log_level(values.text("log.level")));
-    return static_cast<int>(run(std::move(*wanted)));
+    return static_cast<int>(run(std::move(*settings)));
 }
--- a/source/agent/operations_api.cpp
+++ b/source/agent/operations_api.cpp
@@ -31,28 +31,28 @@
 }
 
 auto operations_api::handle(
-    const http::request& asked, const std::shared_ptr<http::responder>& out) const -> void
+    const http::request& request, const std::shared_ptr<http::responder>& responder) const -> void
 {
-    out->send(this->answer(asked));
+    responder->send(this->answer(request));
 }
 
-auto operations_api::answer(const http::request& asked) const -> http::response
+auto operations_api::answer(const http::request& request) const -> http::response
 {
-    if (asked.target == "/drain") {
-        return this->answer_drain(asked);
+    if (request.target == "/drain") {
+        return this->answer_drain(request);
     }
-    const auto known = asked.target == "/health/live" || asked.target == "/health/ready" ||
-                       asked.target == "/metrics";
+    const auto known = request.target == "/health/live" || request.target == "/health/ready" ||
+                       request.target == "/metrics";
     if (!known) {
         return http::problem_answer(make_error(result_code::unknown_path));
     }
-    if (asked.method != "GET") {
+    if (request.method != "GET") {
         return http::problem_answer(make_error(result_code::method_not_allowed));
     }
-    if (asked.target == "/health/live") {
+    if (request.target == "/health/live") {
         return json(status_ok, R"({"live":true})");
     }
-    if (asked.target == "/health/ready") {
+    if (request.target == "/health/ready") {
         return this->answer_ready();
     }
     return {status_ok, {{"Content-Type", "text/plain; version=0.0.4"}}, this->hooks.metrics()};
@@ -69,21 +69,21 @@
     return json(status_ok, R"({"ready":true})");
 }
 
-auto operations_api::answer_drain(const http::request& asked) const -> http::response
+auto operations_api::answer_drain(const http::request& request) const -> http::response
 {
-    if (asked.method != "POST") {
+    if (request.method != "POST") {
         return http::problem_answer(make_error(result_code::method_not_allowed));
     }
-    if (!this->is_operator(asked)) {
+    if (!this->is_operator(request)) {
         return http::problem_answer(make_error(result_code::operator_not_allowed));
     }
     this->hooks.drain();
     return json(status_ok, R"({"leaving":true})");
 }
 
-auto operations_api::is_operator(const http::request& asked) const -> bool
+auto operations_api::is_operator(const http::request& request) const -> bool
 {
-    const auto given = http::find_header(asked.headers, "Authorization");
+    const auto given = http::find_header(request.headers, "Authorization");
     if (!given || !given->starts_with(bearer)) {
         return false;
     }
--- a/source/agent/settings.cpp
+++ b/source/agent/settings.cpp
@@ -19,13 +19,13 @@
 auto identity_keys() -> settings::schema
 {
     return {
-        text_key("server", "Id of the backend server, as in the inventory."),
-        text_key("host", "Id of this host, as in the platform's list."),
+        text_key("server", "Id of the backend server in the inventory."),
+        text_key("host", "Id of this host in the platform's list of hosts."),
         text_key("data_centre", "Data centre of this host."),
-        number_key("threads", "Threads for HTTP and timers; RPC has one more.", 2, 1, 64),
+        number_key("threads", "Threads for HTTP and timers; RPC uses one more.", 2, 1, 64),
         number_key(
             "tailers",
-            "Least number of processes of a data centre that read the log; one in 16 does.",
+            "Minimum number of processes per data centre that read the log; otherwise one in 16.",
             2,
             1,
             64),
@@ -36,86 +36,108 @@
 {
     auto key_file = optional_text_key(
         "rpc.shared_key_file",
-        "File of the key that all processes of the system share; empty: REEDRAMP_SHARED_KEY.");
+        "File with the key shared by all processes of the system; if empty, the environment "
+        "variable REEDRAMP_SHARED_KEY is used.");
     auto weights = optional_text_key(
         "platform.weights",
-        "The platform's weight store; empty: the engine gets no orders to load or unload.");
+        "Address of the platform's weight store; if empty, the engine gets no orders to load or "
+        "unload.");
     return {
-        address_key("rpc.listen", "Where entries and peers call."),
+        address_key("rpc.listen", "Address for RPC from entries and peers."),
         key_file,
-        address_key("http.listen", "Health, metrics and drain."),
-        address_key("backend.address", "The model engine or plain service."),
-        address_key("platform.log", "The platform's log."),
-        address_key("platform.hosts", "The platform's list of hosts."),
+        address_key("http.listen", "Address for health checks, metrics and drain."),
+        address_key("backend.address", "Address of the model engine or plain service."),
+        address_key("platform.log", "Address of the platform's log."),
+        address_key("platform.hosts", "Address of the platform's list of hosts."),
         weights,
         {.path = "operators.key_hashes",
          .type = value_type::text_list,
-         .doc = "SHA-256 in hexadecimal digits of the keys that may drain.",
+         .doc = "SHA-256 hashes (hexadecimal) of the operator keys that may drain.",
          .fallback = settings::text_list{}},
     };
 }
 
 auto queue_keys() -> settings::schema
 {
-    constexpr double most = 1e6;
-    constexpr double most_tokens = 1e9;
+    constexpr double max_count = 1e6;
+    constexpr double max_tokens = 1e9;
     return {
-        number_key("backend.slots", "Requests that the backend server gets at once.", 8, 1, most),
+        number_key(
+            "backend.slots",
+            "Maximum number of concurrent requests to the backend server.",
+            8,
+            1,
+            max_count),
         number_key(
             "backend.cost_limit",
-            "Bound for the cost of all running requests: their expected completion tokens and a "
-            "sixteenth of their prompt tokens; 0 for none.",
+            "Maximum total cost of running requests: their expected completion tokens plus a "
+            "sixteenth of their prompt tokens; 0 for no limit.",
             0,
             0,
-            most_tokens),
-        time_key("backend.idle_timeout", "Longest silence of the backend server.", 60'000),
-        number_key("queue.limit", "Requests that wait; more are refused.", 256, 0, most),
+            max_tokens),
+        time_key(
+            "backend.idle_timeout", "Maximum time without data from the backend server.", 60'000),
+        number_key(
+            "queue.limit",
+            "Maximum number of queued requests; more are refused.",
+            256,
+            0,
+            max_count),
         number_key(
             "queue.run_margin",
-            "Times its expected run that a waiting request keeps free before its deadline.",
+            "Time that a queued request needs before its deadline, as a multiple of its expected "
+            "run time.",
             3,
             1,
             20),
         number_key(
             "queue.expected_token_rate",
-            "Tokens a second of one request, until the first ones have finished.",
+            "Expected tokens per second of one request, until the first requests have finished.",
             50,
             1,
-            most),
+            max_count),
     };
 }
 
-auto promise_keys() -> settings::schema
+auto record_and_shutdown_keys() -> settings::schema
 {
-    constexpr double most_weight_bytes = 1e13;
+    constexpr double max_weight_bytes = 1e13;
     auto weights = number_key(
         "orders.weight_bytes",
-        "Bytes of a version that a load fetches.",
+        "Size of a version's weights, fetched for a load.",
         1 << 30U,
         0,
-        most_weight_bytes);
+        max_weight_bytes);
     weights.unit = "bytes";
     return {
-        time_key("records.window", "How long an ended request is remembered.", 900'000, 1000),
-        number_key("records.limit", "Records that new work may use.", 100'000, 1, 1e8),
-        bytes_key("records.kept_answers", "Kept at-most-once answers together.", 16 << 20U),
-        bytes_key("records.kept_answer", "A larger answer is not kept.", 1 << 20U),
-        time_key("configuration.catch_up", "Wait for a configuration that an entry has.", 2000),
-        time_key("platform.log_timeout", "Longest silence of the log.", 5000),
-        time_key("registration.limit", "Then a random incarnation is taken.", 3000),
+        time_key(
+            "records.window", "How long the record of an ended request is kept.", 900'000, 1000),
+        number_key("records.limit", "Maximum number of records for new requests.", 100'000, 1, 1e8),
+        bytes_key("records.kept_answers", "Total size of kept at-most-once answers.", 16 << 20U),
+        bytes_key("records.kept_answer", "Maximum size of one kept answer.", 1 << 20U),
+        time_key(
+            "configuration.catch_up",
+            "How long a request waits for a configuration that its entry has.",
+            2000),
+        time_key("platform.log_timeout", "Maximum time without data from the log.", 5000),
+        time_key(
+            "registration.limit",
+            "Time limit of the registration; after it the agent uses a random incarnation.",
+            3000),
         weights,
-        time_key("drain.limit", "Then what still runs is cut.", 60'000),
-        time_key("drain.linger", "Answering outcome queries after the last run.", 1000, 0),
+        time_key("drain.limit", "Time limit of a drain; runs that are left after it fail.", 60'000),
+        time_key(
+            "drain.linger", "How long outcome queries are answered after the last run.", 1000, 0),
     };
 }
 
 auto endpoint_of(const settings::values& from, std::string_view path) -> http::endpoint
 {
-    // The schema has checked it.
+    // The schema has already validated the address.
     return http::parse_endpoint(from.text(path)).value_or(http::endpoint{});
 }
 
-auto core_of(const settings::values& from) -> agent::core_options
+auto make_core_options(const settings::values& from) -> agent::core_options
 {
     agent::core_options options;
     options.server = common::server_id{from.text("server")};
@@ -139,7 +161,11 @@
 {
     settings::schema all;
     for (const auto& part :
-         {identity_keys(), address_keys(), queue_keys(), promise_keys(), daemon::logging_keys()}) {
+         {identity_keys(),
+          address_keys(),
+          queue_keys(),
+          record_and_shutdown_keys(),
+          daemon::logging_keys()}) {
         all.insert(all.end(), part.begin(), part.end());
     }
     return all;
@@ -151,35 +177,35 @@
     if (!key) {
         return tl::unexpected(key.error());
     }
-    agent_settings read;
-    read.server = common::server_id{from.text("server")};
-    read.host = common::host_id{from.text("host")};
-    read.data_centre = common::data_centre_id{from.text("data_centre")};
-    read.rpc = endpoint_of(from, "rpc.listen");
-    read.http = endpoint_of(from, "http.listen");
-    read.shared_key = std::move(*key);
-    read.backend = endpoint_of(from, "backend.address");
-    read.log = endpoint_of(from, "platform.log");
-    read.hosts = endpoint_of(from, "platform.hosts");
-    read.operator_key_hashes = from.texts("operators.key_hashes");
-    read.threads = from.size("threads");
-    read.tailers = from.size("tailers");
-    read.backend_idle = from.milliseconds("backend.idle_timeout");
-    read.log_timeout = from.milliseconds("platform.log_timeout");
-    read.registration_limit = from.milliseconds("registration.limit");
-    read.drain_limit = from.milliseconds("drain.limit");
-    read.drain_linger = from.milliseconds("drain.linger");
+    agent_settings result;
+    result.server = common::server_id{from.text("server")};
+    result.host = common::host_id{from.text("host")};
+    result.data_centre = common::data_centre_id{from.text("data_centre")};
+    result.rpc = endpoint_of(from, "rpc.listen");
+    result.http = endpoint_of(from, "http.listen");
+    result.shared_key = std::move(*key);
+    result.backend = endpoint_of(from, "backend.address");
+    result.log = endpoint_of(from, "platform.log");
+    result.hosts = endpoint_of(from, "platform.hosts");
+    result.operator_key_hashes = from.texts("operators.key_hashes");
+    result.threads = from.size("threads");
+    result.tailers = from.size("tailers");
+    result.backend_idle_timeout = from.milliseconds("backend.idle_timeout");
+    result.log_timeout = from.milliseconds("platform.log_timeout");
+    result.registration_limit = from.milliseconds("registration.limit");
+    result.drain_limit = from.milliseconds("drain.limit");
+    result.drain_linger = from.milliseconds("drain.linger");
     if (const auto& text = from.text("platform.weights"); !text.empty()) {
-        read.weights = http::parse_endpoint(text);
-        if (!read.weights) {
+        result.weights = http::parse_endpoint(text);
+        if (!result.weights) {
             return common::failure(
                 common::result_code::invalid_settings,
                 "$.platform.weights: has to be an address like 127.0.0.1:8080");
         }
     }
-    read.weight_bytes = from.size("orders.weight_bytes");
-    read.core = core_of(from);
-    return read;
+    result.weight_bytes = from.size("orders.weight_bytes");
+    result.core = make_core_options(from);
+    return result;
 }
 
 } // namespace reedramp::agent_program
--- a/source/agent/settings.hpp
+++ b/source/agent/settings.hpp
@@ -15,7 +15,7 @@
 
 namespace reedramp::agent_program {
 
-/// What an agent's settings file says, in the types that its parts take.
+/// An agent's settings, converted from the settings file.
 struct agent_settings {
     common::server_id server;
     common::host_id host;
@@ -26,24 +26,24 @@
     http::endpoint backend;
     http::endpoint log;
     http::endpoint hosts;
-    /// Without it the agent gives its engine no orders.
+    /// If not set, the engine gets no orders.
     std::optional<http::endpoint> weights;
     std::uint64_t weight_bytes = 0;
     std::vector<std::string> operator_key_hashes;
     std::size_t threads = 2;
     std::size_t tailers = 2;
-    std::chrono::milliseconds backend_idle{};
+    std::chrono::milliseconds backend_idle_timeout{};
     std::chrono::milliseconds log_timeout{};
     std::chrono::milliseconds registration_limit{};
     std::chrono::milliseconds drain_limit{};
     std::chrono::milliseconds drain_linger{};
-    /// But for the incarnation.
+    /// Without the incarnation.
     agent::core_options core;
 };
 
 auto settings_schema() -> settings::schema;
 
-/// Also reads the file of the shared key. Errors: `invalid_settings`.
+/// Converts the settings and reads the shared key's file. Errors: `invalid_settings`.
 auto read_settings(const settings::values& from) -> common::result<agent_settings>;
 
 } // namespace reedramp::agent_program
--- a/source/unit_tests/agent/program_test.cpp
+++ b/source/unit_tests/agent/program_test.cpp
@@ -117,7 +117,7 @@
     wanted.http = {"127.0.0.1", 0};
     // No process listens on port 1.
     wanted.backend = wanted.log = wanted.hosts = {"127.0.0.1", 1};
-    wanted.backend_idle = wanted.log_timeout = 1s;
+    wanted.backend_idle_timeout = wanted.log_timeout = 1s;
     wanted.registration_limit = 50ms;
     wanted.drain_limit = 10s;
     wanted.core.server = common::server_id{"s1"};
