--- a/source/entry/entry_metrics.cpp
+++ b/source/entry/entry_metrics.cpp
@@ -47,10 +47,7 @@
     this->update_counter(
         "reedramp_entry_answered_total", "Complete responses", {}, counters.answered);
     this->update_counter(
-        "reedramp_entry_retries_total",
-        "Attempts after the first one of a request",
-        {},
-        counters.retries);
+        "reedramp_entry_retries_total", "Retries of requests", {}, counters.retries);
     this->update_counter(
         "reedramp_entry_continued_streams_total",
         "Retries that continued a partly sent stream",
