--- a/source/core/entry/attempt_outcome.cpp
+++ b/source/core/entry/attempt_outcome.cpp
@@ -135,9 +135,9 @@
         {item->attempt.key, true},
         [item, number = item->attempt.number](outcome answer) {
             post(item, [number, answer = std::move(answer)](const exchange_ptr& self) mutable {
-                const auto is_present = self->attempt.phase == attempt_phase::querying_outcome &&
+                const auto is_current = self->attempt.phase == attempt_phase::querying_outcome &&
                                         self->attempt.number == number;
-                if (self->ended || !is_present) {
+                if (self->ended || !is_current) {
                     return;
                 }
                 if (!answer) {
--- a/source/core/entry/context.hpp
+++ b/source/core/entry/context.hpp
@@ -49,6 +49,7 @@
 public:
     auto add(const exchange_ptr& item) -> void;
     auto remove(const exchange& item) -> void;
+    /// Returns the requests whose deadline has passed, each of them once.
     auto take_overdue(common::time_point now) -> std::vector<exchange_ptr>;
     auto all() -> std::vector<exchange_ptr>;
     /// Releases all requests, for a core that is destroyed before its requests have ended.
--- a/source/core/entry/filter_claim.cpp
+++ b/source/core/entry/filter_claim.cpp
@@ -66,8 +66,8 @@
 
 auto on_refused(const exchange_ptr& item, const claims::claim_refused& refused) -> void
 {
-    const auto is_needed = item->repeat == messages::repeat_rule::at_most_once;
-    if (!is_needed && refused.why.code == common::result_code::claims_unavailable) {
+    const auto is_required = item->repeat == messages::repeat_rule::at_most_once;
+    if (!is_required && refused.why.code == common::result_code::claims_unavailable) {
         record_decision(
             *item,
             common::log_part::claims,
--- a/source/core/entry/filter_dispatch.cpp
+++ b/source/core/entry/filter_dispatch.cpp
@@ -136,9 +136,9 @@
 auto on_event(const exchange_ptr& item, common::attempt_number number, messages::run_event event)
     -> void
 {
-    const auto is_present =
+    const auto is_current =
         item->attempt.phase == attempt_phase::running && item->attempt.number == number;
-    if (item->ended || !is_present) {
+    if (item->ended || !is_current) {
         ++item->context->counters.late_events;
         return;
     }
