--- a/source/agent/engine_control.cpp
+++ b/source/agent/engine_control.cpp
@@ -52,7 +52,7 @@
     return {};
 }
 
-auto order_request(const control::give_order& step) -> http::request
+auto order_request(const control::send_order& step) -> http::request
 {
     const auto is_load = step.order.action == control::order_action::load;
     http::request request;
@@ -172,7 +172,7 @@
         });
 }
 
-auto engine_control::execute(const control::give_order& step) -> void
+auto engine_control::execute(const control::send_order& step) -> void
 {
     const auto now = this->parts.now();
     if (!this->orders.authorise(step.ticket, now)) {
--- a/source/agent/engine_control.hpp
+++ b/source/agent/engine_control.hpp
@@ -48,7 +48,7 @@
     auto execute(const control::read_registrations& step) -> void;
     auto execute(const control::read_engine& step) -> void;
     auto execute(const control::fetch_weights& step) -> void;
-    auto execute(const control::give_order& step) -> void;
+    auto execute(const control::send_order& step) -> void;
     auto on_registrations(
         const control::read_registrations& step,
         const common::result<platform::read_answer>& answer) -> void;
--- a/source/bench/exposure_bench.cpp
+++ b/source/bench/exposure_bench.cpp
@@ -5,7 +5,7 @@
 #include <numeric>
 #include <random>
 
-#include "control/evidence_source.hpp"
+#include "control/evidence_recorder.hpp"
 #include "control/rollout.hpp"
 #include "metric.hpp"
 #include "parts.hpp"
@@ -181,18 +181,19 @@
             report.from = common::host_id(std::to_string(i));
             report.sequence = this->sequence;
             report.evidence = this->sources[i].report();
-            this->board.take(report);
+            this->aggregator.apply_report(report);
         }
         for (auto& source : this->sources) {
-            source.use_pooled(this->current, this->board.counts_of(this->item.from));
+            source.set_pooled_baseline(this->current, this->aggregator.counts_of(this->item.from));
         }
         const common::time_point moment{std::chrono::milliseconds(static_cast<long>(now * 1000))};
-        for (const auto& action : this->controller.decide(this->current, this->board, 0, moment)) {
+        for (const auto& action :
+             this->controller.decide(this->current, this->aggregator, 0, moment)) {
             if (const auto* grow = std::get_if<control::propose_share>(&action)) {
                 this->plan_share(now, grow->share, grow->step);
             }
         }
-        if (this->controller.alarmed(this->item.to)) {
+        if (this->controller.has_alarm(this->item.to)) {
             // The other entries hear of it with the next exchange.
             this->stop_at = std::min(this->stop_at, now + this->owner.gossip_s);
         }
@@ -237,9 +238,9 @@
     std::mt19937_64 random;
     std::normal_distribution<double> gauss{0.0, 1.0};
     std::uniform_real_distribution<double> unit{0.0, 1.0};
-    std::deque<control::evidence_source> sources;
+    std::deque<control::evidence_recorder> sources;
     control::rollout_controller controller;
-    control::evidence_board board;
+    control::evidence_aggregator aggregator;
     inventory::rollout item;
     inventory::state current;
     std::deque<late_rating> waiting;
--- a/source/core/control/checkpointer.cpp
+++ b/source/core/control/checkpointer.cpp
@@ -12,8 +12,8 @@
     if (this->due_since == common::never) {
         this->due_since = now;
     }
-    const auto turn = this->due_since + this->settings.rank_delay * rank;
-    if (now < turn || now < this->not_before) {
+    const auto earliest = this->due_since + this->settings.rank_delay * rank;
+    if (now < earliest || now < this->not_before) {
         return false;
     }
     this->not_before = now + this->settings.retry_after;
--- a/source/core/control/evidence_board.cpp
+++ b/source/core/control/evidence_aggregator.cpp
@@ -1,38 +1,39 @@
-#include "control/evidence_board.hpp"
+#include "control/evidence_aggregator.hpp"
 
 #include <algorithm>
 
 namespace reedramp::control {
 
-evidence_board::evidence_board(std::size_t source_limit) : limit(source_limit) {}
+evidence_aggregator::evidence_aggregator(std::size_t source_limit) : limit(source_limit) {}
 
-auto evidence_board::take(const messages::gossip& report) -> bool
+auto evidence_aggregator::apply_report(const messages::gossip& report) -> bool
 {
     const std::lock_guard guard(this->lock);
     auto& known = this->by_source[report.from];
-    // A report that was overtaken holds less than the newer one; adding it would count twice.
+    // A report that arrives after a newer one holds a part of the same totals; adding it would
+    // count them twice.
     if (report.sequence <= known.sequence) {
         return false;
     }
     known.sequence = report.sequence;
     known.evidence = report.evidence;
-    known.heard = ++this->reports;
+    known.last_report = ++this->reports;
     if (this->by_source.size() > this->limit) {
         this->drop_oldest();
     }
     return true;
 }
 
-auto evidence_board::drop_oldest() -> void
+auto evidence_aggregator::drop_oldest() -> void
 {
     const auto oldest =
         std::ranges::min_element(this->by_source, [](const auto& left, const auto& right) {
-            return left.second.heard < right.second.heard;
+            return left.second.last_report < right.second.last_report;
         });
     this->by_source.erase(oldest);
 }
 
-auto evidence_board::total_of(const common::version_id& version) const -> policy::wealth
+auto evidence_aggregator::total_of(const common::version_id& version) const -> policy::wealth
 {
     const std::lock_guard guard(this->lock);
     policy::wealth total(policy::wealth_size, 0.0);
@@ -46,7 +47,7 @@
     return total;
 }
 
-auto evidence_board::counts_of(const common::version_id& version) const
+auto evidence_aggregator::counts_of(const common::version_id& version) const
     -> messages::version_evidence
 {
     const std::lock_guard guard(this->lock);
@@ -67,7 +68,7 @@
     return total;
 }
 
-auto evidence_board::sources() const -> std::size_t
+auto evidence_aggregator::sources() const -> std::size_t
 {
     const std::lock_guard guard(this->lock);
     return this->by_source.size();
--- a/source/core/control/evidence_source.hpp
+++ b/source/core/control/evidence_recorder.hpp
@@ -17,22 +17,22 @@
 
 namespace reedramp::control {
 
-/// What an entry knows of an answer that may be rated later.
+/// What an entry remembers of a response that may be rated later.
 struct rated_answer {
     common::version_id version;
     common::organisation_id organisation;
     common::task_name task;
 };
 
-/// Answers that wait for their rating, at most `limit` of them; the oldest is forgotten first,
-/// which only costs its rating. Safe for several threads.
-class awaiting_ratings {
+/// Holds up to `limit` responses until their rating arrives. Beyond the limit the oldest response
+/// is dropped, and its rating is then ignored. Thread-safe.
+class unrated_answers {
 public:
-    explicit awaiting_ratings(std::size_t limit);
+    explicit unrated_answers(std::size_t limit);
 
     auto add(const common::request_id& request, rated_answer answer) -> void;
 
-    /// Takes the answer out, so that a rating that is delivered twice counts once.
+    /// Removes and returns the response, so that a rating that is delivered twice counts once.
     auto take(const common::request_id& request) -> std::optional<rated_answer>;
 
 private:
@@ -42,41 +42,45 @@
     std::deque<common::request_id> order;
 };
 
-/// How one run ended, as far as the guard looks at it.
+/// The properties of an ended run that the regression detector uses.
 struct observed_run {
     common::version_id version;
     bool failed = false;
     bool slow = false;
 };
 
-/// One entry's own evidence on each running roll-out. Safe for several threads.
-class evidence_source {
+/// Records one entry's own evidence for each running roll-out. Thread-safe.
+class evidence_recorder {
 public:
-    explicit evidence_source(policy::regression_detector_options options);
+    explicit evidence_recorder(policy::regression_detector_options options);
 
     auto on_run(const inventory::state& current, const observed_run& run) -> void;
     auto on_rating(const inventory::state& current, const common::version_id& version, double score)
         -> void;
 
-    /// Takes the sums over all entries for the old version of a roll-out, to bet against.
-    auto use_pooled(const inventory::state& current, const messages::version_evidence& old_one)
+    /// Sets the baseline of the roll-outs whose old version `baseline` describes. `baseline` holds
+    /// the sums over all entries.
+    auto
+    set_pooled_baseline(const inventory::state& current, const messages::version_evidence& baseline)
         -> void;
 
-    /// Totals since each roll-out began, one row for each new version and one for each old one.
+    /// Totals since the start of each roll-out: one row for its old version and one for its new
+    /// version.
     [[nodiscard]] auto report() const -> std::vector<messages::version_evidence>;
 
 private:
-    struct account {
-        policy::regression_evidence bets;
+    struct rollout_evidence {
+        policy::regression_evidence regression;
         messages::version_evidence old_counts;
         messages::version_evidence new_counts;
     };
 
-    auto account_of(const inventory::rollout& item) -> account&;
+    auto evidence_of(const inventory::rollout& item) -> rollout_evidence&;
 
     mutable std::mutex lock;
     policy::regression_detector_options options;
-    std::map<common::version_id, account> accounts;
+    /// By the new version of the roll-out.
+    std::map<common::version_id, rollout_evidence> evidence_by_version;
 };
 
 } // namespace reedramp::control
--- a/source/core/control/orders.cpp
+++ b/source/core/control/orders.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-auto say(common::log_level level, const std::string& sentence) -> void
+auto log(common::log_level level, const std::string& text) -> void
 {
-    common::log(common::log_part::orders, level, sentence);
+    common::log(common::log_part::orders, level, text);
 }
 
 auto name_of(order_action action) -> std::string
@@ -24,77 +24,80 @@
 
 engine_orders::engine_orders(
     order_settings wanted,
-    std::optional<common::log_offset> own,
-    common::time_point asked_at,
+    std::optional<common::log_offset> own_lease,
+    common::time_point registration_sent_at,
     common::time_point now)
-    : settings(wanted), lease(own), old_lease_ends(now + wanted.lease_time + wanted.order_time),
-      evidence(asked_at)
+    : settings(wanted), lease(own_lease),
+      old_lease_end(now + wanted.lease_time + wanted.order_delivery_time),
+      lease_confirmed_at(registration_sent_at)
 {
 }
 
 auto engine_orders::held_until() const -> common::time_point
 {
     const std::lock_guard guard(this->lock);
-    if (!this->lease || this->lost) {
+    if (!this->lease || this->lease_lost) {
         return common::time_point::min();
     }
-    return this->evidence + this->settings.lease_time;
+    return this->lease_confirmed_at + this->settings.lease_time;
 }
 
-auto engine_orders::holds(common::time_point now) const -> bool
+auto engine_orders::holds_lease(common::time_point now) const -> bool
 {
-    return this->lease && !this->lost && now < this->evidence + this->settings.lease_time;
+    return this->lease && !this->lease_lost &&
+           now < this->lease_confirmed_at + this->settings.lease_time;
 }
 
 auto engine_orders::tick(const engine_plan& plan, common::time_point now) -> std::vector<order_step>
 {
     const std::lock_guard guard(this->lock);
     std::vector<order_step> steps;
-    if (!this->lease || this->lost) {
+    if (!this->lease || this->lease_lost) {
         return steps;
     }
-    this->expire(now);
+    this->expire_calls(now);
     if (this->needs_lease(plan) || now >= this->renewal_sent + this->settings.idle_period) {
-        this->renew(now, steps);
+        this->renew_lease(now, steps);
     }
-    if (this->now_doing != stage::idle) {
+    if (this->current_stage != stage::idle) {
         return steps;
     }
-    if (now >= this->next_look) {
-        this->look(now, steps);
+    if (now >= this->next_engine_read) {
+        this->read_engine_state(now, steps);
     }
-    else if (this->loaded && this->may_order(plan, now)) {
-        this->order(plan, now, steps);
+    else if (this->loaded && this->may_send_order(plan, now)) {
+        this->begin_next_order(plan, now, steps);
     }
     return steps;
 }
 
-/// Agents with nothing to order hardly ask the log; hundreds that renew all the time would take the
-/// log's reads from those that need them.
+/// An agent without an order to send renews its lease only at the idle interval: frequent renewals
+/// of hundreds of agents would use up the read rate of the log.
 auto engine_orders::needs_lease(const engine_plan& plan) const -> bool
 {
-    if (this->now_doing == stage::fetching || this->now_doing == stage::ordering) {
+    if (this->current_stage == stage::fetching_weights ||
+        this->current_stage == stage::sending_order) {
         return true;
     }
     return this->loaded && this->next_order(plan);
 }
 
-/// An answer that never comes must not stop the orders for good. What the call did is not known,
-/// so the engine is looked at before anything else.
-auto engine_orders::expire(common::time_point now) -> void
+/// A response that never arrives must not block the orders forever. The effect of the call is then
+/// unknown, so the engine's state is read before anything else is done.
+auto engine_orders::expire_calls(common::time_point now) -> void
 {
     if (this->renewal && now >= this->renewal_sent + this->settings.lease_time) {
         this->renewal.reset();
     }
-    if (this->now_doing == stage::idle || now < this->call_ends) {
+    if (this->current_stage == stage::idle || now < this->call_deadline) {
         return;
     }
-    this->now_doing = stage::idle;
+    this->current_stage = stage::idle;
     this->loaded.reset();
-    this->next_look = now;
+    this->next_engine_read = now;
 }
 
-auto engine_orders::renew(common::time_point now, std::vector<order_step>& steps) -> void
+auto engine_orders::renew_lease(common::time_point now, std::vector<order_step>& steps) -> void
 {
     if (this->renewal || now < this->next_renewal) {
         return;
@@ -119,43 +122,45 @@
         return;
     }
     if (*newest > *this->lease) {
-        this->lose("a newer registration");
+        this->lose_lease("a newer registration");
         return;
     }
-    // As of the question: the answer may have been under way, or this process suspended, since.
-    this->evidence = std::max(this->evidence, this->renewal_sent);
+    // The time of the request counts, not that of the response: the response may have been delayed,
+    // or this process suspended, in between.
+    this->lease_confirmed_at = std::max(this->lease_confirmed_at, this->renewal_sent);
 }
 
-auto engine_orders::lose(const char* why) -> void
+auto engine_orders::lose_lease(const char* why) -> void
 {
-    if (!this->lost) {
-        say(common::log_level::warning,
+    if (!this->lease_lost) {
+        log(common::log_level::warning,
             "lease lost number=" + std::to_string(this->lease->value()) + " why=" + why);
     }
-    this->lost = true;
+    this->lease_lost = true;
 }
 
-auto engine_orders::begin(stage next, common::time_point now) -> std::uint64_t
+auto engine_orders::begin_call(stage next, common::time_point now) -> std::uint64_t
 {
-    this->now_doing = next;
-    this->call = ++this->last_ticket;
-    this->call_ends = now + this->settings.answer_time;
-    return this->call;
+    this->current_stage = next;
+    this->call_ticket = ++this->last_ticket;
+    this->call_deadline = now + this->settings.call_timeout;
+    return this->call_ticket;
 }
 
-auto engine_orders::finish(stage of, std::uint64_t ticket) -> bool
+auto engine_orders::finish_call(stage of, std::uint64_t ticket) -> bool
 {
-    if (this->now_doing != of || this->call != ticket) {
+    if (this->current_stage != of || this->call_ticket != ticket) {
         return false;
     }
-    this->now_doing = stage::idle;
+    this->current_stage = stage::idle;
     return true;
 }
 
-auto engine_orders::look(common::time_point now, std::vector<order_step>& steps) -> void
+auto engine_orders::read_engine_state(common::time_point now, std::vector<order_step>& steps)
+    -> void
 {
-    this->next_look = now + this->settings.look_period;
-    steps.emplace_back(read_engine{this->begin(stage::looking, now)});
+    this->next_engine_read = now + this->settings.engine_read_period;
+    steps.emplace_back(read_engine{this->begin_call(stage::reading_engine, now)});
 }
 
 auto engine_orders::on_engine(
@@ -163,12 +168,12 @@
     -> void
 {
     const std::lock_guard guard(this->lock);
-    if (!this->finish(stage::looking, ticket)) {
+    if (!this->finish_call(stage::reading_engine, ticket)) {
         return;
     }
     if (!seen) {
         this->loaded.reset();
-        this->next_look = now + this->settings.retry_after;
+        this->next_engine_read = now + this->settings.retry_after;
         return;
     }
     this->loaded = std::move(*seen);
@@ -178,7 +183,8 @@
     this->check_effect(now);
 }
 
-/// Engines report with a lag, so an order without effect is not given again at once.
+/// Engines report their state with a delay, so an order without a visible effect is not repeated at
+/// once.
 auto engine_orders::check_effect(common::time_point now) -> void
 {
     if (!this->unconfirmed) {
@@ -191,7 +197,7 @@
         return;
     }
     if (now < this->next_order_at) {
-        this->next_look = this->next_order_at;
+        this->next_engine_read = this->next_order_at;
         return;
     }
     this->unconfirmed.reset();
@@ -199,7 +205,7 @@
 
 auto engine_orders::next_order(const engine_plan& plan) const -> std::optional<engine_order>
 {
-    // Unloading first makes room for what is to be loaded.
+    // Unloading first frees memory for the versions to load.
     for (const auto& version : plan.unwanted) {
         if (this->loaded->contains(version)) {
             return engine_order{order_action::unload, version};
@@ -213,13 +219,13 @@
     return std::nullopt;
 }
 
-auto engine_orders::may_order(const engine_plan& plan, common::time_point now) const -> bool
+auto engine_orders::may_send_order(const engine_plan& plan, common::time_point now) const -> bool
 {
-    const auto may_begin = plan.checks_fencing || now >= this->old_lease_ends;
-    return may_begin && now >= this->next_order_at && this->holds(now);
+    const auto old_lease_ended = plan.checks_fencing || now >= this->old_lease_end;
+    return old_lease_ended && now >= this->next_order_at && this->holds_lease(now);
 }
 
-auto engine_orders::order(
+auto engine_orders::begin_next_order(
     const engine_plan& plan, common::time_point now, std::vector<order_step>& steps) -> void
 {
     const auto next = this->next_order(plan);
@@ -228,18 +234,19 @@
     }
     this->current = *next;
     if (next->action == order_action::load && this->fetched != next->version) {
-        steps.emplace_back(fetch_weights{this->begin(stage::fetching, now), next->version});
+        steps.emplace_back(
+            fetch_weights{this->begin_call(stage::fetching_weights, now), next->version});
         return;
     }
-    const auto ticket = this->begin(stage::ordering, now);
-    steps.emplace_back(give_order{ticket, *next, this->lease->value()});
+    const auto ticket = this->begin_call(stage::sending_order, now);
+    steps.emplace_back(send_order{ticket, *next, this->lease->value()});
 }
 
 auto engine_orders::on_weights(
     std::uint64_t ticket, const common::result<void>& outcome, common::time_point now) -> void
 {
     const std::lock_guard guard(this->lock);
-    if (!this->finish(stage::fetching, ticket)) {
+    if (!this->finish_call(stage::fetching_weights, ticket)) {
         return;
     }
     if (outcome) {
@@ -253,30 +260,31 @@
 auto engine_orders::authorise(std::uint64_t ticket, common::time_point now) const -> bool
 {
     const std::lock_guard guard(this->lock);
-    const auto is_current = this->now_doing == stage::ordering && this->call == ticket;
-    return is_current && this->holds(now);
+    const auto is_current =
+        this->current_stage == stage::sending_order && this->call_ticket == ticket;
+    return is_current && this->holds_lease(now);
 }
 
 auto engine_orders::on_order(
     std::uint64_t ticket, const common::result<void>& outcome, common::time_point now) -> void
 {
     const std::lock_guard guard(this->lock);
-    if (!this->finish(stage::ordering, ticket)) {
+    if (!this->finish_call(stage::sending_order, ticket)) {
         return;
     }
     const auto code = outcome ? common::result_code::ok : outcome.error().code;
     const auto result = std::string(common::row_of(code).name);
-    say(outcome ? common::log_level::info : common::log_level::warning,
+    log(outcome ? common::log_level::info : common::log_level::warning,
         "order=" + name_of(this->current.action) + " version=" + this->current.version.value() +
             " number=" + std::to_string(this->lease->value()) + " result=" + result);
     if (code == common::result_code::fencing_refused) {
-        this->lose("the engine knows a newer agent");
+        this->lose_lease("the engine knows a newer agent");
         return;
     }
-    // Only what the engine itself reports counts, also after an answer that says it was done: an
-    // engine that ignores numbers may have got another agent's order in between.
+    // Even after a success only the state that the engine reports counts: an engine that does not
+    // check fencing numbers may have received another agent's order in between.
     this->loaded.reset();
-    this->next_look = now;
+    this->next_engine_read = now;
     this->next_order_at = now + this->settings.retry_after;
     this->unconfirmed = this->current;
 }
--- a/source/core/control/proposal.hpp
+++ b/source/core/control/proposal.hpp
@@ -10,11 +10,13 @@
 
 namespace reedramp::control {
 
-/// The configuration record that carries out a controller's action, for `inventory::publisher`.
-/// Empty if the roll-out is gone or has moved on since the controller looked.
+/// Builds the configuration record that carries out a controller's action, for
+/// `inventory::publisher`. Returns nothing if the roll-out no longer exists or has changed since
+/// the controller decided.
 ///
-/// The id is made of roll-out, step and kind, not drawn: several processes that propose the same
-/// thing write the same record id, and all but the first are no-ops.
+/// The record id is derived from the roll-out, the step and the kind of action rather than drawn at
+/// random: processes that propose the same action write the same id, and all records but the first
+/// are no-ops.
 auto to_record(
     const rollout_action& action, const inventory::state& current, common::wall_time_ms at)
     -> std::optional<inventory::record>;
--- a/source/core/control/rollout.cpp
+++ b/source/core/control/rollout.cpp
@@ -39,7 +39,7 @@
 
 auto rollout_controller::decide(
     const inventory::state& current,
-    const evidence_board& evidence,
+    const evidence_aggregator& evidence,
     std::uint32_t rank,
     common::time_point now) -> std::vector<rollout_action>
 {
@@ -47,43 +47,45 @@
     std::vector<rollout_action> actions;
     for (const auto& [id, item] : current.rollouts) {
         if (item.status != inventory::rollout_status::running || current.is_withdrawn(item.to)) {
-            this->watches.erase(id);
+            this->progress_by_rollout.erase(id);
             continue;
         }
-        auto found = this->look_at(item, evidence, rank, now, current.offset);
+        auto found = this->evaluate_rollout(item, evidence, rank, now, current.offset);
         actions.insert(actions.end(), found.begin(), found.end());
     }
     return actions;
 }
 
-auto rollout_controller::look_at(
+auto rollout_controller::evaluate_rollout(
     const inventory::rollout& item,
-    const evidence_board& evidence,
+    const evidence_aggregator& evidence,
     std::uint32_t rank,
     common::time_point now,
     common::log_offset base) -> std::vector<rollout_action>
 {
-    auto& seen = this->watches[item.id];
-    if (seen.step != item.step) {
-        seen = {item.step, common::never};
+    auto& progress = this->progress_by_rollout[item.id];
+    if (progress.step != item.step) {
+        progress = {item.step, common::never};
     }
     const auto index = std::min<std::size_t>(item.step, this->options.steps.size() - 1);
     const auto found = policy::evaluate(
-        evidence.total_of(item.to), this->options.guard, this->options.steps[index].doubt);
+        evidence.total_of(item.to),
+        this->options.detector,
+        this->options.steps[index].error_probability);
     if (found.decision == policy::verdict::worse && this->alarms.insert(item.to).second) {
         common::log(
             common::log_part::rollout,
             common::log_level::warning,
             "alarm, no new sessions " + describe(item, found));
     }
-    if (this->is_alarmed(item.to)) {
+    if (this->has_alarm_locked(item.to)) {
         if (!this->may_propose(item.id, rank, now)) {
             return {};
         }
         return {propose_stop{item.id, item.to, this->options.on_alarm, base}};
     }
     if (found.decision != policy::verdict::not_worse) {
-        seen.propose_at = common::never;
+        progress.propose_at = common::never;
         return {};
     }
     if (!this->may_propose(item.id, rank, now)) {
@@ -92,7 +94,7 @@
     common::log(
         common::log_part::rollout,
         common::log_level::info,
-        "proposes the next step " + describe(item, found));
+        "proposing the next step " + describe(item, found));
     return this->next_step(item, base);
 }
 
@@ -111,26 +113,26 @@
 auto rollout_controller::may_propose(
     const std::string& id, std::uint32_t rank, common::time_point now) -> bool
 {
-    auto& seen = this->watches[id];
-    if (seen.propose_at == common::never) {
-        seen.propose_at = now + rank * this->options.rank_delay;
+    auto& progress = this->progress_by_rollout[id];
+    if (progress.propose_at == common::never) {
+        progress.propose_at = now + rank * this->options.rank_delay;
     }
-    if (now < seen.propose_at) {
+    if (now < progress.propose_at) {
         return false;
     }
-    // Should the proposal be lost, this process tries again after a while; a repeat that was not
-    // needed has an old base and is refused.
-    seen.propose_at = now + 5 * this->options.rank_delay;
+    // A lost proposal is repeated after a delay. A repeat that was not needed has an outdated base
+    // and is rejected.
+    progress.propose_at = now + 5 * this->options.rank_delay;
     return true;
 }
 
-auto rollout_controller::alarmed(const common::version_id& version) const -> bool
+auto rollout_controller::has_alarm(const common::version_id& version) const -> bool
 {
     const std::lock_guard guard(this->lock);
-    return this->is_alarmed(version);
+    return this->has_alarm_locked(version);
 }
 
-auto rollout_controller::is_alarmed(const common::version_id& version) const -> bool
+auto rollout_controller::has_alarm_locked(const common::version_id& version) const -> bool
 {
     return this->alarms.contains(version);
 }
--- a/source/core/entry/version_policy.cpp
+++ b/source/core/entry/version_policy.cpp
@@ -94,7 +94,7 @@
 
 version_policy::version_policy(version_policy_settings wanted)
     : settings(std::move(wanted)), quality(settings.quality), awaiting(settings.awaiting_limit),
-      own_evidence(settings.rollouts.guard), rollouts(settings.rollouts)
+      own_evidence(settings.rollouts.detector), rollouts(settings.rollouts)
 {
 }
 
@@ -210,7 +210,7 @@
         if (!is_running || item.from != decision.version || !contains_version(eligible, item.to)) {
             continue;
         }
-        if (this->rollouts.alarmed(item.to) ||
+        if (this->rollouts.has_alarm(item.to) ||
             !policy::is_in_rollout_share(share_hash(query, id), item.share)) {
             continue;
         }
@@ -270,7 +270,7 @@
 
 auto version_policy::apply_evidence(const messages::gossip& gossip) -> void
 {
-    this->board.take(gossip);
+    this->aggregator.apply_report(gossip);
 }
 
 auto version_policy::tick(
@@ -279,10 +279,10 @@
 {
     for (const auto& [id, item] : current.rollouts) {
         if (item.status == inventory::rollout_status::running) {
-            this->own_evidence.use_pooled(current, this->board.counts_of(item.from));
+            this->own_evidence.set_pooled_baseline(current, this->aggregator.counts_of(item.from));
         }
     }
-    return this->rollouts.decide(current, this->board, rank, now);
+    return this->rollouts.decide(current, this->aggregator, rank, now);
 }
 
 } // namespace reedramp::entry
--- a/source/core/entry/version_policy.hpp
+++ b/source/core/entry/version_policy.hpp
@@ -11,8 +11,8 @@
 #include "common/ids.hpp"
 #include "common/result.hpp"
 #include "common/units.hpp"
-#include "control/evidence_board.hpp"
-#include "control/evidence_source.hpp"
+#include "control/evidence_aggregator.hpp"
+#include "control/evidence_recorder.hpp"
 #include "control/rollout.hpp"
 #include "entry/core_hooks.hpp"
 #include "inventory/state.hpp"
@@ -93,9 +93,9 @@
 
     version_policy_settings settings;
     policy::quality_tracker quality;
-    control::awaiting_ratings awaiting;
-    control::evidence_source own_evidence;
-    control::evidence_board board;
+    control::unrated_answers awaiting;
+    control::evidence_recorder own_evidence;
+    control::evidence_aggregator aggregator;
     control::rollout_controller rollouts;
     std::mutex lock;
     std::map<account_key, policy::quality_price_controller> accounts;
--- a/source/unit_tests/control/checkpointer_test.cpp
+++ b/source/unit_tests/control/checkpointer_test.cpp
@@ -17,16 +17,16 @@
 
 constexpr auto configuration = platform::streams::configuration;
 
-/// Entries that read one log, and append a checkpoint when it is their turn.
-class world {
+/// Entries that read one log, each with a checkpointer.
+class fixture {
 public:
-    explicit world(int entries)
+    explicit fixture(int entry_count)
     {
-        for (int index = 0; index < entries; ++index) {
+        for (int index = 0; index < entry_count; ++index) {
             this->readers.push_back(this->make_reader());
             this->readers.back()->start();
         }
-        this->turns = std::vector<checkpointer>(this->readers.size());
+        this->checkpointers = std::vector<checkpointer>(this->readers.size());
     }
 
     auto put_record() -> void
@@ -38,14 +38,14 @@
                 std::to_string(base) + R"(,"changes":[{"put":"model","value":{"id":"m"}}]})");
     }
 
-    /// One second of all entries but those that are lost.
+    /// Runs one second of all entries except the `lost` ones of the lowest ranks.
     auto run_second(std::size_t lost = 0) -> void
     {
         for (auto rank = lost; rank < this->readers.size(); ++rank) {
             auto& reader = *this->readers[rank];
-            const auto place = static_cast<std::uint32_t>(rank);
-            if (!this->turns[rank].should_append(
-                    reader.checkpoint_due(), place, this->time.now())) {
+            const auto entry_rank = static_cast<std::uint32_t>(rank);
+            if (!this->checkpointers[rank].should_append(
+                    reader.checkpoint_due(), entry_rank, this->time.now())) {
                 continue;
             }
             ++this->appends;
@@ -59,7 +59,7 @@
     platform::fake_time time;
     platform::fake_log log{time.clock(), time.timers()};
     std::vector<std::shared_ptr<inventory::follower>> readers;
-    std::vector<checkpointer> turns;
+    std::vector<checkpointer> checkpointers;
     int appends = 0;
 
 private:
@@ -94,41 +94,42 @@
 
 } // namespace
 
-TEST_CASE("one entry appends a checkpoint when it is due, the next one when that one is lost")
+TEST_CASE("the entry of the lowest rank alive appends the checkpoint that is due")
 {
-    // Without a checkpoint a process that starts after the log has dropped its first records has
-    // no configuration, and refuses all. The first entry by rank appends it; when that is lost
-    // meanwhile, the second does, 5 s later. All see it in the log, and append no other.
+    // A process that starts after the log has trimmed its first records needs a checkpoint;
+    // without one it has no configuration and refuses all requests. If the entry of the first rank
+    // is down, that of the second appends 5 s later. The others read the checkpoint from the log
+    // and append none.
     const std::size_t lost = GENERATE(0U, 1U, 2U);
-    world all(3);
+    fixture entries(3);
     for (int count = 0; count < 12; ++count) {
-        all.put_record();
+        entries.put_record();
     }
-    all.run_second(lost);
+    entries.run_second(lost);
     const auto wait = 5 * static_cast<int>(lost);
     for (int second = 0; second < wait; ++second) {
-        CHECK(all.appends == 0);
-        all.run_second(lost);
+        CHECK(entries.appends == 0);
+        entries.run_second(lost);
     }
     for (int second = 0; second < 40; ++second) {
-        all.run_second(lost);
+        entries.run_second(lost);
     }
-    CHECK(all.appends == 1);
-    CHECK(all.readers[2]->snapshot()->checkpoint.value() > 0);
+    CHECK(entries.appends == 1);
+    CHECK(entries.readers[2]->snapshot()->checkpoint.value() > 0);
 }
 
-TEST_CASE("a checkpoint that the log did not take is tried again, not at once")
+TEST_CASE("a checkpoint that was not appended is retried after a delay")
 {
-    // The log is down for appends, or the answer is lost: each try is a whole state, so it must
-    // not go out each second.
+    // The log rejects appends, or its response is lost. Each attempt sends the whole state, so it
+    // must not be repeated every second.
     checkpointer subject;
     common::time_point now{1h};
-    int tries = 0;
+    int attempts = 0;
     for (int second = 0; second < 61; ++second) {
-        tries += subject.should_append(true, 0, now) ? 1 : 0;
+        attempts += subject.should_append(true, 0, now) ? 1 : 0;
         now += 1s;
     }
-    CHECK(tries == 3);
+    CHECK(attempts == 3);
     CHECK_FALSE(subject.should_append(false, 0, now + 1h));
     CHECK_FALSE(subject.should_append(true, 1, now + 2h));
     CHECK(subject.should_append(true, 1, now + 2h + 5s));
--- a/source/unit_tests/control/rollout_test.cpp
+++ b/source/unit_tests/control/rollout_test.cpp
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "control/evidence_source.hpp"
+#include "control/evidence_recorder.hpp"
 #include "control/proposal.hpp"
 #include "inventory/fold.hpp"
 
@@ -30,12 +30,12 @@
     return made;
 }
 
-/// Evidence of one entry that saw `count` ratings of the new version, and many of the old one, as
-/// is usual while its share is small.
+/// Evidence of one entry with `count` ratings of the new version and 200 of the old one, since the
+/// new version's share is small.
 auto report_of(const char* host, std::uint64_t sequence, int count, double old_score, double score)
     -> messages::gossip
 {
-    evidence_source seen{policy::regression_detector_options{}};
+    evidence_recorder seen{policy::regression_detector_options{}};
     const auto current = running_state();
     for (int i = 0; i < 200; ++i) {
         seen.on_rating(current, old_version, old_score + (i % 2 == 0 ? 0.1 : -0.1));
@@ -54,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("a roll-out grows with evidence, stops on an alarm, and else waits")
+TEST_CASE("a roll-out advances on evidence, stops on an alarm, and otherwise waits")
 {
     struct row {
         const char* title;
@@ -75,11 +75,11 @@
     };
     for (const auto& each : rows) {
         INFO(each.title);
-        evidence_board board;
-        board.take(report_of("a", 1, each.ratings, 0.8, each.score));
+        evidence_aggregator aggregator;
+        aggregator.apply_report(report_of("a", 1, each.ratings, 0.8, each.score));
         rollout_controller controller{rollout_options{}};
-        const auto actions = controller.decide(running_state(each.step), board, 0, start);
-        CHECK(controller.alarmed(new_version) == each.stops);
+        const auto actions = controller.decide(running_state(each.step), aggregator, 0, start);
+        CHECK(controller.has_alarm(new_version) == each.stops);
         if (each.stops) {
             REQUIRE(actions.size() == 1);
             CHECK(std::holds_alternative<propose_stop>(actions[0]));
@@ -96,43 +96,45 @@
 
 TEST_CASE("only the sum of the entries' evidence raises the alarm")
 {
-    // Each of six entries has rated too few bad answers to be sure. Callers go on getting bad
-    // answers until somebody adds up; reports that are repeated or overtaken must not add twice.
-    evidence_board board;
+    // Each of six entries has too few bad ratings for an alarm, so callers would continue to get
+    // bad responses if the evidence weren't summed. Repeated and reordered reports must not count
+    // twice.
+    evidence_aggregator aggregator;
     rollout_controller controller{rollout_options{}};
     const auto part = [](int host, std::uint64_t sequence, int count) {
         return report_of(std::to_string(host).c_str(), sequence, count, 0.8, 0.5);
     };
-    board.take(part(0, 2, 6));
+    aggregator.apply_report(part(0, 2, 6));
     for (int i = 0; i < 50; ++i) {
-        CHECK_FALSE(board.take(part(0, 2, 6)));
-        CHECK_FALSE(board.take(part(0, 1, 3)));
+        CHECK_FALSE(aggregator.apply_report(part(0, 2, 6)));
+        CHECK_FALSE(aggregator.apply_report(part(0, 1, 3)));
     }
-    controller.decide(running_state(), board, 0, start);
-    CHECK_FALSE(controller.alarmed(new_version));
+    controller.decide(running_state(), aggregator, 0, start);
+    CHECK_FALSE(controller.has_alarm(new_version));
     for (int host = 1; host < 6; ++host) {
-        board.take(part(host, 1, 6));
+        aggregator.apply_report(part(host, 1, 6));
     }
-    controller.decide(running_state(), board, 0, start);
-    CHECK(controller.alarmed(new_version));
+    controller.decide(running_state(), aggregator, 0, start);
+    CHECK(controller.has_alarm(new_version));
 }
 
-TEST_CASE("entries propose one after the other by rank, and again if nothing came of it")
+TEST_CASE("entries propose in the order of their rank, and again if a proposal was lost")
 {
-    // The entry of rank 0 dies after the alarm. The one of rank 1 must propose the withdrawal a
-    // little later, though nobody told it that the first one is gone.
-    evidence_board board;
-    board.take(report_of("a", 1, 60, 0.8, 0.4));
+    // The entry of rank 0 fails after the alarm. The entry of rank 1 must propose the withdrawal
+    // after its delay, without having been told of the failure.
+    evidence_aggregator aggregator;
+    aggregator.apply_report(report_of("a", 1, 60, 0.8, 0.4));
     rollout_controller controller{rollout_options{}};
-    CHECK(controller.decide(running_state(), board, 1, start).empty());
-    CHECK(controller.alarmed(new_version));
-    CHECK(controller.decide(running_state(), board, 1, start + 1s).empty());
-    CHECK(controller.decide(running_state(), board, 1, start + 2s).size() == 1);
-    CHECK(controller.decide(running_state(), board, 1, start + 3s).empty());
-    CHECK(controller.decide(running_state(), board, 1, start + 13s).size() == 1);
+    CHECK(controller.decide(running_state(), aggregator, 1, start).empty());
+    CHECK(controller.has_alarm(new_version));
+    CHECK(controller.decide(running_state(), aggregator, 1, start + 1s).empty());
+    CHECK(controller.decide(running_state(), aggregator, 1, start + 2s).size() == 1);
+    CHECK(controller.decide(running_state(), aggregator, 1, start + 3s).empty());
+    CHECK(controller.decide(running_state(), aggregator, 1, start + 13s).size() == 1);
 }
 
-TEST_CASE("two proposals of one step are one change, and a late one of the step before is none")
+TEST_CASE(
+    "two proposals of one step have one record id, and a late one of an earlier step is dropped")
 {
     const auto current = running_state();
     const propose_share action{"r", common::permille(50), 1, false, current.offset};
@@ -151,7 +153,7 @@
 
 TEST_CASE("a rating that is delivered twice counts once, and memory is bounded")
 {
-    awaiting_ratings waiting(10);
+    unrated_answers waiting(10);
     for (std::uint64_t i = 0; i < 30; ++i) {
         waiting.add({0, i}, {new_version, {}, {}});
     }
@@ -160,14 +162,14 @@
     CHECK_FALSE(waiting.take({0, 25}));
 }
 
-TEST_CASE("the board forgets the source heard of longest ago at its bound")
+TEST_CASE("the aggregator drops the source with the oldest report beyond its limit")
 {
-    evidence_board board(2);
-    board.take(report_of("a", 1, 1, 0.8, 0.4));
-    board.take(report_of("b", 1, 1, 0.8, 0.4));
-    board.take(report_of("a", 2, 1, 0.8, 0.4));
-    board.take(report_of("c", 1, 1, 0.8, 0.4));
-    CHECK(board.sources() == 2);
-    CHECK_FALSE(board.take(report_of("a", 2, 1, 0.8, 0.4)));
-    CHECK(board.take(report_of("b", 1, 1, 0.8, 0.4)));
+    evidence_aggregator aggregator(2);
+    aggregator.apply_report(report_of("a", 1, 1, 0.8, 0.4));
+    aggregator.apply_report(report_of("b", 1, 1, 0.8, 0.4));
+    aggregator.apply_report(report_of("a", 2, 1, 0.8, 0.4));
+    aggregator.apply_report(report_of("c", 1, 1, 0.8, 0.4));
+    CHECK(aggregator.sources() == 2);
+    CHECK_FALSE(aggregator.apply_report(report_of("a", 2, 1, 0.8, 0.4)));
+    CHECK(aggregator.apply_report(report_of("b", 1, 1, 0.8, 0.4)));
 }
