--- a/source/core/agent/core_impl.cpp
+++ b/source/core/agent/core_impl.cpp
@@ -51,7 +51,7 @@
     offered.ask = [self](
                       messages::outcome_query query,
                       messages::answer_hook<messages::outcome_answer> done) {
-        done(self->ask(query));
+        done(self->query_outcome(query));
     };
     offered.probe = [self](
                         messages::probe_request request,
@@ -132,17 +132,18 @@
 
 auto core_impl::fail_all_runs() -> std::size_t
 {
-    std::vector<run_ptr> left;
+    std::vector<run_ptr> running_runs;
     {
         const std::lock_guard guard(this->lock);
         for (const auto& [key, item] : this->runs) {
-            left.push_back(item);
+            running_runs.push_back(item);
         }
     }
-    return static_cast<std::size_t>(std::count_if(left.begin(), left.end(), [this](auto& item) {
-        return this->fail_run(
-            item, make_error(result_code::server_lost, "agent stopped before the run ended"));
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(running_runs.begin(), running_runs.end(), [this](auto& item) {
+            return this->fail_run(
+                item, make_error(result_code::server_lost, "agent stopped before the run ended"));
+        }));
 }
 
 auto core_impl::counters() const -> core_counters
@@ -161,7 +162,7 @@
     return result;
 }
 
-auto core_impl::ask(const messages::outcome_query& query) -> messages::outcome_answer
+auto core_impl::query_outcome(const messages::outcome_query& query) -> messages::outcome_answer
 {
     if (query.key.incarnation != this->options.incarnation) {
         // A previous incarnation may have run it; its records are gone.
--- a/source/core/agent/core_impl.hpp
+++ b/source/core/agent/core_impl.hpp
@@ -72,7 +72,7 @@
     auto find_run(const messages::run_key& key) -> run_ptr;
     auto send_refusal(const run_ptr& item, const common::error& why) -> void;
 
-    auto ask(const messages::outcome_query& query) -> messages::outcome_answer;
+    auto query_outcome(const messages::outcome_query& query) -> messages::outcome_answer;
     auto probe(const messages::probe_request& request) -> messages::probe_answer;
 
     const core_options options;
--- a/source/core/agent/core_impl_admission.cpp
+++ b/source/core/agent/core_impl_admission.cpp
@@ -86,9 +86,10 @@
         return;
     }
     using messages::outcome_state;
-    const auto runs_now =
+    const auto is_in_progress =
         known.state == outcome_state::queued || known.state == outcome_state::running;
-    auto why = make_error(runs_now ? result_code::still_running : result_code::duplicate_request);
+    auto why =
+        make_error(is_in_progress ? result_code::still_running : result_code::duplicate_request);
     if (known.state == outcome_state::unknown && known.why) {
         why = *known.why;
     }
--- a/source/core/agent/core_impl_dispatch.cpp
+++ b/source/core/agent/core_impl_dispatch.cpp
@@ -227,11 +227,11 @@
 
 auto core_impl::record_failed(const run_ptr& item, const messages::failed_event& event) -> void
 {
-    const auto left = event.why.code == result_code::cancelled;
-    ++(left ? this->cancelled : this->failed);
+    const auto running_runs = event.why.code == result_code::cancelled;
+    ++(running_runs ? this->cancelled : this->failed);
     this->table.fail(item->request.key, event.why, event.used, this->hooks.now());
     log_decision(
-        left ? "cancelled" : "failed",
+        running_runs ? "cancelled" : "failed",
         item->request,
         error_fields(event.why) +
             " tokens=" + std::to_string(event.used.completion_tokens.value()));
--- a/source/core/agent/request_table.cpp
+++ b/source/core/agent/request_table.cpp
@@ -22,10 +22,10 @@
 }
 
 /// Answer if a refusal cannot be recorded and therefore cannot be guaranteed.
-auto records_full() -> messages::outcome_answer
+auto record_table_full_answer() -> messages::outcome_answer
 {
     messages::outcome_answer answer;
-    answer.why = common::make_error(result_code::no_capacity, "records are full");
+    answer.why = common::make_error(result_code::no_capacity, "request table is full");
     answer.why->run = common::execution::unknown;
     return answer;
 }
@@ -121,11 +121,12 @@
     if (this->reserve_record(true)) {
         const auto code = is_late_copy ? result_code::already_refused : result_code::no_capacity;
         all.push_back(make_refusal(key.attempt, code));
-        this->expire_later(key, now);
-        return rejected{common::make_error(code, is_late_copy ? "late copy" : "records are full")};
+        this->schedule_expiry(key, now);
+        return rejected{
+            common::make_error(code, is_late_copy ? "late copy" : "request table is full")};
     }
     // An unrecorded refusal would not stop a later copy, so the outcome is reported as `unknown`.
-    return duplicate{records_full()};
+    return duplicate{record_table_full_answer()};
 }
 
 auto request_table::admit(const messages::run_key& key, repeat_rule repeat, common::time_point now)
@@ -170,7 +171,7 @@
             return;
         }
         change(*found_record);
-        this->expire_later(key, now);
+        this->schedule_expiry(key, now);
     });
 }
 
@@ -237,16 +238,16 @@
             return messages::outcome_answer{};
         }
         if (!this->reserve_record(true)) {
-            return records_full();
+            return record_table_full_answer();
         }
         auto made = make_refusal(key.attempt, result_code::already_refused);
         entries[key.request].push_back(made);
-        this->expire_later(key, now);
+        this->schedule_expiry(key, now);
         return describe(made);
     });
 }
 
-auto request_table::expire_later(const messages::run_key& key, common::time_point now) -> void
+auto request_table::schedule_expiry(const messages::run_key& key, common::time_point now) -> void
 {
     const std::lock_guard guard(this->expiry_lock);
     this->expiries.push_back({now + this->limits.window, key.request, key.attempt});
--- a/source/core/agent/request_table.hpp
+++ b/source/core/agent/request_table.hpp
@@ -138,7 +138,7 @@
     auto reserve_record(bool for_refusal) -> bool;
     auto store_answer(messages::finished_event answer)
         -> std::shared_ptr<const messages::finished_event>;
-    auto expire_later(const messages::run_key& key, common::time_point now) -> void;
+    auto schedule_expiry(const messages::run_key& key, common::time_point now) -> void;
     auto remove(const expiry& due) -> void;
 
     request_table_limits limits;
--- a/source/core/claims/claim_arbiter_core.cpp
+++ b/source/core/claims/claim_arbiter_core.cpp
@@ -194,7 +194,7 @@
     }
     // Keys expire only through a record with a later horizon, and a full table appends no claims.
     const auto horizon = this->offset_ages.first_younger_than(this->config.window, now);
-    this->prune_wanted = horizon > this->table.horizon();
+    this->is_expiry_batch_due = horizon > this->table.horizon();
     return true;
 }
 
@@ -232,12 +232,12 @@
 {
     ++(verdict == claim_state::won ? this->totals.won : this->totals.lost);
     --this->pending;
-    messages::claim_answer made;
-    made.state = verdict;
-    made.holder = held.claim;
-    made.holder.organisation = item.claim.organisation;
-    made.offset = held.offset;
-    deferred.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
+    messages::claim_answer result;
+    result.state = verdict;
+    result.holder = held.claim;
+    result.holder.organisation = item.claim.organisation;
+    result.offset = held.offset;
+    deferred.push_back([done = std::exchange(item.done, nullptr), result] { done(result); });
 }
 
 auto claim_arbiter_core::refuse(
@@ -248,13 +248,13 @@
     }
     ++this->totals.refused;
     --this->pending;
-    messages::claim_answer made;
-    made.state = claim_state::refused;
-    made.why = common::make_error(code, "partition=" + this->config.stream);
+    messages::claim_answer result;
+    result.state = claim_state::refused;
+    result.why = common::make_error(code, "partition=" + this->config.stream);
     if (code == result_code::claims_unavailable) {
-        made.why->retry_at = now + this->config.initial_retry_wait;
+        result.why->retry_at = now + this->config.initial_retry_wait;
     }
-    deferred.push_back([done = std::exchange(item.done, nullptr), made] { done(made); });
+    deferred.push_back([done = std::exchange(item.done, nullptr), result] { done(result); });
 }
 
 auto claim_arbiter_core::refuse_expired(
@@ -280,14 +280,14 @@
         std::erase_if(list, is_answered);
     }
     this->refuse_expired(this->next_batch, now, deferred);
-    std::vector<common::request_id> emptied_keys;
+    std::vector<common::request_id> refused_keys;
     for (const auto& item : this->next_batch) {
         if (is_answered(item)) {
-            emptied_keys.push_back(item.claim.key);
+            refused_keys.push_back(item.claim.key);
         }
     }
     std::erase_if(this->next_batch, is_answered);
-    for (const auto& key : emptied_keys) {
+    for (const auto& key : refused_keys) {
         this->release_key(key, now, deferred);
     }
 }
--- a/source/core/claims/claim_arbiter_core.hpp
+++ b/source/core/claims/claim_arbiter_core.hpp
@@ -169,7 +169,7 @@
     /// Claims of the next batch.
     std::vector<pending_claim> next_batch;
     /// A batch is sent even if it is empty, so that its horizon expires keys of the full table.
-    bool prune_wanted = false;
+    bool is_expiry_batch_due = false;
     submitted_batches submitted;
     std::uint64_t batch_count = 0;
     /// Keys in `next_batch` or `submitted`, with the further claims that wait for them.
--- a/source/core/claims/claim_arbiter_log.cpp
+++ b/source/core/claims/claim_arbiter_log.cpp
@@ -61,7 +61,7 @@
 
 auto claim_arbiter_core::next_send_time() const -> time_point
 {
-    const auto has_something = !this->next_batch.empty() || this->prune_wanted;
+    const auto has_something = !this->next_batch.empty() || this->is_expiry_batch_due;
     const auto may_send = this->state == arbiter_state::serving &&
                           this->submitted.size() < this->config.max_appends_in_flight;
     if (!has_something || !may_send) {
@@ -131,7 +131,7 @@
     item.number = ++this->batch_count;
     item.call_deadline = now + this->config.log_call_timeout;
     this->next_send = now + this->config.append_interval;
-    this->prune_wanted = false;
+    this->is_expiry_batch_due = false;
     this->append(item, deferred);
     this->submitted.emplace(item.number, std::move(item));
 }
--- a/source/core/claims/claim_arbiter_set.cpp
+++ b/source/core/claims/claim_arbiter_set.cpp
@@ -85,8 +85,8 @@
         return;
     }
     arbiter->start();
-    arbiter->claim(std::move(request), [done = std::move(done)](messages::claim_answer made) {
-        done(std::move(made));
+    arbiter->claim(std::move(request), [done = std::move(done)](messages::claim_answer answer) {
+        done(std::move(answer));
     });
 }
 
--- a/source/core/claims/claim_arbiter_set.hpp
+++ b/source/core/claims/claim_arbiter_set.hpp
@@ -48,7 +48,7 @@
     /// Refuses all further claims; called at the end of a graceful shutdown.
     auto stop() -> void;
 
-    /// Sums over all running arbiters; `state` is the worst of their states.
+    /// Sums over the arbiters without the retired ones; `state` is the worst of their states.
     [[nodiscard]] auto counters() const -> claim_arbiter_counters;
 
 private:
--- a/source/core/claims/claim_client.cpp
+++ b/source/core/claims/claim_client.cpp
@@ -18,9 +18,9 @@
         claim_client_hooks given,
         messages::claim_request claim,
         time_point until,
-        std::function<auto(claim_result end)->void> when_done)
+        std::function<auto(claim_result result)->void> callback)
         : hooks(std::move(given)), state_machine(config, std::move(claim), until), deadline(until),
-          done(std::move(when_done))
+          done(std::move(callback))
     {
     }
 
@@ -82,10 +82,10 @@
         });
     }
 
-    template <typename End>
-    auto execute(End& end, std::uint64_t /*turn*/) -> void
+    template <typename Result>
+    auto execute(Result& result, std::uint64_t /*step_number*/) -> void
     {
-        std::exchange(this->done, nullptr)(std::move(end));
+        std::exchange(this->done, nullptr)(std::move(result));
     }
 
     auto on_answer(const common::result<messages::claim_answer>& answer, std::uint64_t step_number)
@@ -133,7 +133,7 @@
     std::mutex lock;
     claimant state_machine;
     const time_point deadline;
-    std::function<auto(claim_result end)->void> done;
+    std::function<auto(claim_result result)->void> done;
     /// Number of the current step; an answer to an earlier step is ignored.
     std::uint64_t current_step = 0;
     /// Which answer the current step waits for, if any.
@@ -148,7 +148,7 @@
     const claim_client_hooks& hooks,
     messages::claim_request claim,
     time_point deadline,
-    std::function<auto(claim_result end)->void> done) -> void
+    std::function<auto(claim_result result)->void> done) -> void
 {
     const auto run = std::make_shared<claim_operation>(
         config, hooks, std::move(claim), deadline, std::move(done));
--- a/source/core/claims/claim_client.hpp
+++ b/source/core/claims/claim_client.hpp
@@ -44,6 +44,6 @@
     const claim_client_hooks& hooks,
     messages::claim_request claim,
     common::time_point deadline,
-    std::function<auto(claim_result end)->void> done) -> void;
+    std::function<auto(claim_result result)->void> done) -> void;
 
 } // namespace reedramp::claims
--- a/source/unit_tests/agent/agent_fixture.hpp
+++ b/source/unit_tests/agent/agent_fixture.hpp
@@ -104,12 +104,12 @@
 }
 
 inline const common::incarnation_id incarnation{41};
-inline const common::log_offset newest{10};
+inline const common::log_offset newest_offset{10};
 
 inline auto make_state() -> inventory::state
 {
     inventory::state made;
-    made.offset = newest;
+    made.offset = newest_offset;
     const common::model_id drafting{"drafting"};
     made.models[drafting].id = drafting;
     inventory::backend_server here;
@@ -190,7 +190,7 @@
     core_fixture(const core_fixture&) = delete;
     auto operator=(const core_fixture&) -> core_fixture& = delete;
 
-    static auto chat(std::uint64_t id, std::uint32_t attempt = 1) -> messages::run_request
+    static auto chat_request(std::uint64_t id, std::uint32_t attempt = 1) -> messages::run_request
     {
         messages::run_request made;
         made.key = {{1, id}, common::attempt_number{attempt}, incarnation};
@@ -198,16 +198,17 @@
         made.model = common::model_id{"drafting"};
         made.version = common::version_id{"v1"};
         made.time_left = 30s;
-        made.configuration = newest;
+        made.configuration = newest_offset;
         made.stream = true;
         made.body = R"({"messages":[]})";
         return made;
     }
 
     /// Call of a method that must run at most once.
-    static auto invoice(std::uint64_t id, std::uint32_t attempt = 1) -> messages::run_request
+    static auto invoice_request(std::uint64_t id, std::uint32_t attempt = 1)
+        -> messages::run_request
     {
-        auto made = chat(id, attempt);
+        auto made = chat_request(id, attempt);
         made.kind = messages::work_kind::service;
         made.repeat = messages::repeat_rule::at_most_once;
         made.model = {};
@@ -230,7 +231,7 @@
         return recorder;
     }
 
-    auto ask(const messages::run_key& key, bool refuse_if_unknown = true)
+    auto query_outcome(const messages::run_key& key, bool refuse_if_unknown = true)
         -> messages::outcome_answer
     {
         messages::outcome_answer result;
--- a/source/unit_tests/agent/core_faults_test.cpp
+++ b/source/unit_tests/agent/core_faults_test.cpp
@@ -56,13 +56,13 @@
             "refused stale_configuration not_run"},
         row{"service that is not allowed",
             [](core_fixture&, auto& r) {
-                r = core_fixture::invoice(1);
+                r = core_fixture::invoice_request(1);
                 r.organisation = common::organisation_id{"nobody"};
             },
             "refused organisation_not_allowed not_run"},
         row{"service of another server",
             [](core_fixture&, auto& r) {
-                r = core_fixture::invoice(1);
+                r = core_fixture::invoice_request(1);
                 r.service = common::service_name{"plans"};
             },
             "refused unknown_model not_run"},
@@ -78,7 +78,7 @@
         row{"agent is leaving, and behind the entry",
             [](core_fixture& fixture, auto& r) {
                 fixture.core->drain();
-                r.configuration = common::log_offset{newest.value() + 1};
+                r.configuration = common::log_offset{newest_offset.value() + 1};
             },
             "refused server_leaving not_run"},
         row{"request for a previous incarnation",
@@ -86,7 +86,7 @@
             "refused wrong_incarnation not_run"});
     INFO(test_case.what);
     core_fixture fixture;
-    auto request = core_fixture::chat(1);
+    auto request = core_fixture::chat_request(1);
     test_case.arrange(fixture, request);
     const auto recorder = fixture.run(request);
     CHECK(recorder->outcome() == test_case.outcome);
@@ -94,7 +94,7 @@
     CHECK(fixture.backends.empty());
     CHECK(fixture.core->is_idle());
     if (request.key.incarnation == incarnation) {
-        CHECK(fixture.ask(request.key, false).state == outcome_state::refused);
+        CHECK(fixture.query_outcome(request.key, false).state == outcome_state::refused);
         CHECK(fixture.run(request)->outcome() == "refused already_refused not_run");
     }
 }
@@ -104,8 +104,8 @@
     // The withdrawal arrives while the request is queued behind another one. The rules are checked
     // again before the start; the caller sees "version_withdrawn, not run".
     core_fixture fixture(one_slot());
-    const auto first = fixture.run(core_fixture::chat(1));
-    const auto second = fixture.run(core_fixture::chat(2));
+    const auto first = fixture.run(core_fixture::chat_request(1));
+    const auto second = fixture.run(core_fixture::chat_request(2));
     REQUIRE(fixture.backends.size() == 1);
     fixture.configure([](auto& s) { withdraw(s, "v1"); });
     fixture.backends[0]->head("text/event-stream");
@@ -123,12 +123,12 @@
     // waits for a bounded time, because the missing record may be a withdrawal. The caller sees a
     // slightly later answer, or a refusal.
     core_fixture fixture;
-    auto request = core_fixture::chat(1);
-    request.configuration = common::log_offset{newest.value() + 1};
+    auto request = core_fixture::chat_request(1);
+    request.configuration = common::log_offset{newest_offset.value() + 1};
     const auto recorder = fixture.run(request);
     CHECK(fixture.backends.empty());
     CHECK(fixture.requested_offset == request.configuration);
-    CHECK(fixture.ask(request.key).state == outcome_state::queued);
+    CHECK(fixture.query_outcome(request.key).state == outcome_state::queued);
 
     SECTION("it arrives")
     {
@@ -159,7 +159,7 @@
 TEST_CASE("A stream is delivered completely and in order")
 {
     core_fixture fixture;
-    auto request = core_fixture::chat(1);
+    auto request = core_fixture::chat_request(1);
     request.sent_tokens = common::token_count{5};
     const auto recorder = fixture.run(request);
     REQUIRE(fixture.backends.size() == 1);
@@ -232,7 +232,7 @@
         row{"HTTP 400", [](fake_backend& e) { e.answer("{}", 400); }, "finished", 0});
     INFO(test_case.what);
     core_fixture fixture;
-    const auto recorder = fixture.run(core_fixture::chat(1));
+    const auto recorder = fixture.run(core_fixture::chat_request(1));
     test_case.fault(*fixture.backends.at(0));
     CHECK(recorder->outcome() == test_case.outcome);
     REQUIRE(fixture.usage.size() == 1);
@@ -246,21 +246,24 @@
     // Copies and later attempts of the call arrive while it runs, after it ended, and after its
     // answer was lost. The record made before the start keeps each of them from running.
     core_fixture fixture;
-    const auto first = fixture.run(core_fixture::invoice(1));
+    const auto first = fixture.run(core_fixture::invoice_request(1));
     REQUIRE(fixture.backends.size() == 1);
-    CHECK(fixture.run(core_fixture::invoice(1))->outcome() == "failed still_running unknown");
-    CHECK(fixture.run(core_fixture::invoice(1, 2))->outcome() == "failed still_running unknown");
+    CHECK(
+        fixture.run(core_fixture::invoice_request(1))->outcome() == "failed still_running unknown");
+    CHECK(
+        fixture.run(core_fixture::invoice_request(1, 2))->outcome() ==
+        "failed still_running unknown");
 
     SECTION("the answer is kept for retries")
     {
         fixture.backends[0]->answer("note 7");
         CHECK(first->outcome() == "finished");
         for (const auto attempt : {1U, 2U, 3U}) {
-            const auto copy = fixture.run(core_fixture::invoice(1, attempt));
+            const auto copy = fixture.run(core_fixture::invoice_request(1, attempt));
             REQUIRE(copy->outcome() == "finished");
             CHECK(copy->final_event<finished_event>()->body == "note 7");
         }
-        const auto known = fixture.ask(core_fixture::invoice(1).key);
+        const auto known = fixture.query_outcome(core_fixture::invoice_request(1).key);
         CHECK(known.state == outcome_state::finished);
         CHECK(known.finished.value().body == "note 7");
     }
@@ -270,11 +273,13 @@
         first->handle->cancel();
         CHECK_FALSE(fixture.backends[0]->cancelled);
         CHECK_FALSE(fixture.backends[0]->paused);
-        CHECK(fixture.ask(core_fixture::invoice(1).key).state == outcome_state::running);
+        CHECK(
+            fixture.query_outcome(core_fixture::invoice_request(1).key).state ==
+            outcome_state::running);
         fixture.backends[0]->answer("note 7");
         CHECK(first->events.empty());
         CHECK(
-            fixture.run(core_fixture::invoice(1, 2))->final_event<finished_event>()->body ==
+            fixture.run(core_fixture::invoice_request(1, 2))->final_event<finished_event>()->body ==
             "note 7");
     }
     SECTION("its outcome stays unknown")
@@ -282,7 +287,7 @@
         fixture.backends[0]->fail(common::execution::unknown);
         CHECK(first->outcome() == "failed server_lost unknown");
         CHECK(
-            fixture.run(core_fixture::invoice(1, 2))->outcome() ==
+            fixture.run(core_fixture::invoice_request(1, 2))->outcome() ==
             "failed duplicate_request unknown");
     }
     SECTION("the backend server got no byte: a later attempt may run")
@@ -290,8 +295,9 @@
         fixture.backends[0]->fail(common::execution::not_run);
         CHECK(first->outcome() == "refused no_capacity not_run");
         CHECK(
-            fixture.run(core_fixture::invoice(1))->outcome() == "refused already_refused not_run");
-        fixture.run(core_fixture::invoice(1, 2));
+            fixture.run(core_fixture::invoice_request(1))->outcome() ==
+            "refused already_refused not_run");
+        fixture.run(core_fixture::invoice_request(1, 2));
         CHECK(fixture.backends.size() == 2);
         return;
     }
@@ -313,7 +319,7 @@
     options.queue.capacity.slots = 4;
     core_fixture fixture(options);
     for (const auto attempt : {1U, 2U}) {
-        auto request = core_fixture::invoice(1, attempt);
+        auto request = core_fixture::invoice_request(1, attempt);
         request.repeat = messages::repeat_rule::idempotent;
         fixture.run(request);
     }
@@ -327,16 +333,22 @@
     core_options options;
     options.queue.capacity.slots = 4;
     core_fixture fixture(options);
-    const auto known = fixture.ask(core_fixture::invoice(1).key);
+    const auto known = fixture.query_outcome(core_fixture::invoice_request(1).key);
     CHECK(known.state == outcome_state::refused);
     CHECK(known.why.value().run == common::execution::not_run);
-    CHECK(fixture.run(core_fixture::invoice(1))->outcome() == "refused already_refused not_run");
+    CHECK(
+        fixture.run(core_fixture::invoice_request(1))->outcome() ==
+        "refused already_refused not_run");
     CHECK(fixture.backends.empty());
-    fixture.run(core_fixture::invoice(1, 3));
+    fixture.run(core_fixture::invoice_request(1, 3));
     CHECK(fixture.backends.size() == 1);
-    CHECK(fixture.run(core_fixture::invoice(1, 2))->outcome() == "failed still_running unknown");
-    fixture.run(core_fixture::chat(2, 2));
-    CHECK(fixture.run(core_fixture::chat(2, 1))->outcome() == "refused already_refused not_run");
+    CHECK(
+        fixture.run(core_fixture::invoice_request(1, 2))->outcome() ==
+        "failed still_running unknown");
+    fixture.run(core_fixture::chat_request(2, 2));
+    CHECK(
+        fixture.run(core_fixture::chat_request(2, 1))->outcome() ==
+        "refused already_refused not_run");
     CHECK(fixture.backends.size() == 2);
 }
 
@@ -348,9 +360,9 @@
     core_options options;
     options.incarnation = common::incarnation_id{42};
     core_fixture successor(options);
-    const auto old = core_fixture::invoice(1);
+    const auto old = core_fixture::invoice_request(1);
     CHECK(successor.run(old)->outcome() == "refused wrong_incarnation not_run");
-    const auto known = successor.ask(old.key);
+    const auto known = successor.query_outcome(old.key);
     CHECK(known.state == outcome_state::unknown);
     CHECK(known.why.value().run == common::execution::unknown);
     CHECK(successor.backends.empty());
@@ -361,15 +373,16 @@
     // The running stream continues to its end. The queued request is refused and recorded, so that
     // it can be placed elsewhere. Probes report "leaving" at once.
     core_fixture fixture(one_slot());
-    const auto running = fixture.run(core_fixture::chat(1));
-    const auto queued = fixture.run(core_fixture::chat(2));
+    const auto running = fixture.run(core_fixture::chat_request(1));
+    const auto queued = fixture.run(core_fixture::chat_request(2));
     fixture.backends[0]->head("text/event-stream");
     fixture.backends[0]->token("t0 ");
     fixture.core->drain();
     CHECK(fixture.probe("v1").leaving);
     CHECK(queued->outcome() == "refused server_leaving not_run");
-    CHECK(fixture.ask(core_fixture::chat(2).key).state == outcome_state::refused);
-    CHECK(fixture.run(core_fixture::chat(3))->outcome() == "refused server_leaving not_run");
+    CHECK(fixture.query_outcome(core_fixture::chat_request(2).key).state == outcome_state::refused);
+    CHECK(
+        fixture.run(core_fixture::chat_request(3))->outcome() == "refused server_leaving not_run");
     CHECK_FALSE(fixture.core->is_idle());
     fixture.backends[0]->token("t1 ");
     fixture.backends[0]->end_stream();
@@ -382,7 +395,7 @@
 TEST_CASE("A drain beyond its limit fails the remaining runs and counts them")
 {
     core_fixture fixture;
-    const auto recorder = fixture.run(core_fixture::chat(1));
+    const auto recorder = fixture.run(core_fixture::chat_request(1));
     fixture.core->drain();
     CHECK(fixture.core->fail_all_runs() == 1);
     CHECK(recorder->outcome() == "failed server_lost unknown");
@@ -397,15 +410,15 @@
     auto options = one_slot();
     options.queue.max_queued = 2;
     core_fixture fixture(options);
-    fixture.run(core_fixture::chat(1));
-    auto hasty = core_fixture::chat(2);
+    fixture.run(core_fixture::chat_request(1));
+    auto hasty = core_fixture::chat_request(2);
     hasty.time_left = 2s;
     const auto late = fixture.run(hasty);
     CHECK(late->outcome() == "refused deadline_too_near not_run");
     CHECK(late->final_event<refused_event>()->retry_after > 0s);
-    fixture.run(core_fixture::chat(3));
-    fixture.run(core_fixture::chat(4));
-    const auto over = fixture.run(core_fixture::chat(5));
+    fixture.run(core_fixture::chat_request(3));
+    fixture.run(core_fixture::chat_request(4));
+    const auto over = fixture.run(core_fixture::chat_request(5));
     CHECK(over->outcome() == "refused queue_full not_run");
     CHECK(over->final_event<refused_event>()->retry_after > 0s);
     CHECK(fixture.probe("v1").queued == 2);
@@ -415,8 +428,8 @@
 TEST_CASE("A queued request is refused when too little time is left")
 {
     core_fixture fixture(one_slot());
-    fixture.run(core_fixture::invoice(1));
-    const auto waits = fixture.run(core_fixture::chat(2));
+    fixture.run(core_fixture::invoice_request(1));
+    const auto waits = fixture.run(core_fixture::chat_request(2));
     fixture.time.run_for(29s);
     CHECK(waits->outcome() == "refused deadline_too_near not_run");
     CHECK(fixture.backends.size() == 1);
@@ -425,11 +438,11 @@
 TEST_CASE("A caller that disconnects frees its slot at the backend server")
 {
     core_fixture fixture(one_slot());
-    const auto first = fixture.run(core_fixture::chat(1));
-    const auto second = fixture.run(core_fixture::chat(2));
-    const auto third = fixture.run(core_fixture::chat(3));
+    const auto first = fixture.run(core_fixture::chat_request(1));
+    const auto second = fixture.run(core_fixture::chat_request(2));
+    const auto third = fixture.run(core_fixture::chat_request(3));
     second->handle->cancel();
-    CHECK(fixture.ask(core_fixture::chat(2).key).state == outcome_state::refused);
+    CHECK(fixture.query_outcome(core_fixture::chat_request(2).key).state == outcome_state::refused);
     fixture.backends[0]->head("text/event-stream");
     fixture.backends[0]->token("t0 ");
     first->handle->cancel();
@@ -440,7 +453,7 @@
     CHECK(first->outcome() == "none");
     REQUIRE(fixture.usage.size() == 1);
     CHECK(fixture.usage[0].used.completion_tokens.value() == 1);
-    CHECK(fixture.ask(core_fixture::chat(1).key).state == outcome_state::failed);
+    CHECK(fixture.query_outcome(core_fixture::chat_request(1).key).state == outcome_state::failed);
     REQUIRE(fixture.backends.size() == 2);
     fixture.backends[1]->head("text/event-stream");
     fixture.backends[1]->end_stream();
@@ -450,8 +463,8 @@
 TEST_CASE("A slow receiver pauses the backend call")
 {
     core_fixture fixture(one_slot());
-    const auto first = fixture.run(core_fixture::chat(1));
-    const auto second = fixture.run(core_fixture::chat(2));
+    const auto first = fixture.run(core_fixture::chat_request(1));
+    const auto second = fixture.run(core_fixture::chat_request(2));
     first->handle->pause();
     CHECK(fixture.backends[0]->paused);
     first->handle->resume();
@@ -465,7 +478,7 @@
 TEST_CASE("An idempotent run ends at its deadline")
 {
     core_fixture fixture;
-    const auto recorder = fixture.run(core_fixture::chat(1));
+    const auto recorder = fixture.run(core_fixture::chat_request(1));
     fixture.time.run_for(30s);
     CHECK(recorder->outcome() == "failed deadline_passed ran");
     CHECK(fixture.backends[0]->cancelled);
--- a/source/unit_tests/agent/core_threads_test.cpp
+++ b/source/unit_tests/agent/core_threads_test.cpp
@@ -117,10 +117,9 @@
     const auto send = [&](std::uint64_t first) {
         for (auto id = first; id < run_count; id += 2) {
             auto& mine = runs[id];
-            mine.handle =
-                agent->service().run(core_fixture::chat(id), [&mine](messages::run_event event) {
-                    mine.on_event(event);
-                });
+            mine.handle = agent->service().run(
+                core_fixture::chat_request(id),
+                [&mine](messages::run_event event) { mine.on_event(event); });
             mine.handle->pause();
             mine.handle->resume();
             if (id % cancel_each == 0) {
@@ -161,11 +160,11 @@
         other_sender.join();
     }
     agent->drain();
-    const auto busy = [&] {
+    const auto is_busy = [&] {
         const std::lock_guard guard(posted_lock);
         return !posted.empty() || !agent->is_idle();
     };
-    while (busy()) {
+    while (is_busy()) {
         std::this_thread::yield();
     }
     stop = true;
@@ -175,8 +174,8 @@
     for (std::uint64_t id = 0; id < run_count; ++id) {
         INFO(id);
         CHECK(runs[id].violations == 0);
-        const auto left = id % cancel_each == 0;
-        CHECK((runs[id].final_events == 1 || (left && runs[id].final_events == 0)));
+        const auto is_cancelled = id % cancel_each == 0;
+        CHECK((runs[id].final_events == 1 || (is_cancelled && runs[id].final_events == 0)));
     }
     const auto counters = agent->counters();
     CHECK(
