--- a/source/core/billing/codec.cpp
+++ b/source/core/billing/codec.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t bill_fields = 5;
 constexpr std::size_t line_fields = 5;
 
-/// What a container keeps beside the bill itself.
-constexpr std::size_t holding_bytes = 64;
+/// Memory that a container uses per bill besides the bill itself.
+constexpr std::size_t container_overhead_bytes = 64;
 
 auto line_to_json(const messages::bill_line& line) -> json::array
 {
@@ -45,7 +45,7 @@
         std::move(lines)};
 }
 
-/// Reads the values of an array; `failed` stays set once one was of another kind.
+/// Reads the values of an array. `failed` is set when a value has the wrong type, and stays set.
 struct value_reader {
     const json::array& values;
     bool failed = false;
@@ -129,7 +129,7 @@
 
 auto malformed() -> tl::unexpected<common::error>
 {
-    return common::failure(result_code::invalid_record, "not a record of bills");
+    return common::failure(result_code::invalid_record, "malformed record of bills");
 }
 
 } // namespace
@@ -177,7 +177,7 @@
 
 auto size_of(const messages::bill& item) -> std::size_t
 {
-    auto bytes = sizeof(item) + holding_bytes + item.organisation.value().capacity() +
+    auto bytes = sizeof(item) + container_overhead_bytes + item.organisation.value().capacity() +
                  item.task.value().capacity();
     for (const auto& line : item.lines) {
         bytes += sizeof(line) + line.version.value().capacity() + line.server.value().capacity();
--- a/source/core/billing/codec.hpp
+++ b/source/core/billing/codec.hpp
@@ -11,20 +11,21 @@
 
 namespace reedramp::billing {
 
-/// One record of the stream `bills`. Its id tells a collector its own records when it reads back.
+/// One record of the stream `bills`. A collector recognises its own record by the id when it reads
+/// it back.
 struct batch {
     common::request_id id;
     std::vector<messages::bill> bills;
 };
 
-/// The record as JSON text.
+/// Formats the record as JSON text.
 auto serialise(const batch& content) -> std::string;
 
-/// Errors: `invalid_record`. Readers skip such a record alike.
+/// Parses a record. The error is `invalid_record`; every reader skips such a record.
 auto parse(std::string_view record) -> common::result<batch>;
 
-/// Bytes that a bill is counted with against the collector's bound: at least what it holds in
-/// memory and what its text takes.
+/// Bytes that a bill counts towards the collector's limit: at least its size in memory and its size
+/// as text.
 auto size_of(const messages::bill& item) -> std::size_t;
 
 } // namespace reedramp::billing
--- a/source/core/billing/collector.cpp
+++ b/source/core/billing/collector.cpp
@@ -14,39 +14,39 @@
 using common::result_code;
 using common::time_point;
 
-auto say(common::log_level level, const std::string& sentence) -> void
+auto log(common::log_level level, const std::string& text) -> void
 {
-    common::log(common::log_part::bills, level, sentence);
+    common::log(common::log_part::bills, level, text);
 }
 
 } // namespace
 
-/// Bills that came together from another process, which waits for `done`.
-struct collector::receipt {
-    std::size_t open = 0;
+/// Bills received together from another process, which waits for `done`.
+struct collector::handover_receipt {
+    std::size_t unconfirmed = 0;
     messages::answer_hook<messages::accepted> done;
 };
 
-struct collector::held_bill {
+struct collector::pending_bill {
     messages::bill item;
     std::size_t bytes = 0;
-    /// Null for a bill of this process.
-    std::shared_ptr<receipt> from;
-    /// When it is to be sent, even alone.
+    /// The handover that the bill belongs to; null for a bill of this process.
+    std::shared_ptr<handover_receipt> from;
+    /// When the wait for other bills ends.
     time_point due;
 };
 
-struct collector::sent_batch {
+struct collector::in_flight_batch {
     enum class stage : std::uint8_t { waiting, forwarding, appending, reading };
 
     std::shared_ptr<const batch> content;
-    /// Of each bill of `content`; their `item` is empty.
-    std::vector<held_bill> bills;
-    stage at = stage::waiting;
-    /// End of the wait, or when the call under way is given up.
-    time_point until{};
+    /// One for each bill of `content`, with an empty `item`.
+    std::vector<pending_bill> bills;
+    stage current = stage::waiting;
+    /// End of the retry delay, or the timeout of the current call.
+    time_point deadline{};
     bool may_forward = false;
-    /// Where the log said it put the batch.
+    /// Offset of the batch according to the log; 0 if unknown.
     common::log_offset offset;
 };
 
@@ -56,7 +56,7 @@
 }
 
 collector::collector(collector_config settings, collector_hooks given)
-    : config(settings), hooks(std::move(given)), retry_wait(settings.first_retry)
+    : config(settings), hooks(std::move(given)), retry_wait(settings.initial_retry_wait)
 {
 }
 
@@ -66,21 +66,21 @@
 auto collector::with_lock(Change change) -> void
 {
     const auto now = this->hooks.now();
-    actions todo;
+    actions deferred;
     {
         const std::lock_guard guard(this->lock);
-        change(now, todo);
+        change(now, deferred);
     }
-    for (const auto& step : todo) {
+    for (const auto& step : deferred) {
         step();
     }
 }
 
 auto collector::add(messages::bill item) -> void
 {
-    this->with_lock([&](time_point now, actions& todo) {
-        this->hold(std::move(item), nullptr, now);
-        this->schedule(now, todo);
+    this->with_lock([&](time_point now, actions& deferred) {
+        this->add_pending(std::move(item), nullptr, now);
+        this->schedule(now, deferred);
     });
 }
 
@@ -96,16 +96,17 @@
         bytes += size_of(item);
     }
     auto is_full = false;
-    this->with_lock([&](time_point now, actions& todo) {
-        is_full = this->held_bytes + bytes > this->config.full_bytes / 2;
+    this->with_lock([&](time_point now, actions& deferred) {
+        is_full = this->pending_bytes + bytes > this->config.max_pending_bytes / 2;
         if (is_full) {
             return;
         }
-        auto from = std::make_shared<receipt>(receipt{bills.bills.size(), std::move(done)});
+        auto from = std::make_shared<handover_receipt>(
+            handover_receipt{bills.bills.size(), std::move(done)});
         for (auto& item : bills.bills) {
-            this->hold(std::move(item), from, now);
+            this->add_pending(std::move(item), from, now);
         }
-        this->schedule(now, todo);
+        this->schedule(now, deferred);
     });
     if (is_full) {
         done(common::failure(result_code::queue_full, "too many bills wait for the log"));
@@ -115,26 +116,26 @@
 auto collector::accepts_work() const -> bool
 {
     const std::lock_guard guard(this->lock);
-    return this->held_bytes < this->config.full_bytes;
+    return this->pending_bytes < this->config.max_pending_bytes;
 }
 
 auto collector::flush() -> void
 {
-    this->with_lock([this](time_point now, actions& todo) {
+    this->with_lock([this](time_point now, actions& deferred) {
         this->flushing = true;
-        this->schedule(now, todo);
+        this->schedule(now, deferred);
     });
 }
 
-auto collector::hand_over() const -> messages::bill_handover
+auto collector::make_handover() const -> messages::bill_handover
 {
     const std::lock_guard guard(this->lock);
     messages::bill_handover all;
-    if (this->sent) {
-        all.bills = this->sent->content->bills;
+    if (this->in_flight) {
+        all.bills = this->in_flight->content->bills;
     }
-    for (const auto& held : this->waiting) {
-        all.bills.push_back(held.item);
+    for (const auto& pending : this->waiting) {
+        all.bills.push_back(pending.item);
     }
     return all;
 }
@@ -148,82 +149,84 @@
     const auto is_confirmed = [&ids](const messages::bill& item) {
         return ids.contains(item.request);
     };
-    this->with_lock([&](time_point now, actions& todo) {
-        // A batch that was confirmed only in part stays whole: its repeat is dropped by readers.
-        if (this->sent && std::ranges::all_of(this->sent->content->bills, is_confirmed)) {
-            this->confirm(todo);
+    this->with_lock([&](time_point now, actions& deferred) {
+        // A batch that is confirmed only in part stays whole; readers ignore the duplicates.
+        if (this->in_flight && std::ranges::all_of(this->in_flight->content->bills, is_confirmed)) {
+            this->confirm(deferred);
         }
-        for (auto& held : this->waiting) {
-            if (is_confirmed(held.item)) {
-                this->let_go(held, todo);
+        for (auto& pending : this->waiting) {
+            if (is_confirmed(pending.item)) {
+                this->remove_pending(pending, deferred);
             }
         }
         std::erase_if(
-            this->waiting, [&](const held_bill& held) { return is_confirmed(held.item); });
-        this->schedule(now, todo);
+            this->waiting, [&](const pending_bill& pending) { return is_confirmed(pending.item); });
+        this->schedule(now, deferred);
     });
 }
 
 auto collector::empty() const -> bool
 {
     const std::lock_guard guard(this->lock);
-    return this->waiting.empty() && !this->sent;
+    return this->waiting.empty() && !this->in_flight;
 }
 
 auto collector::counters() const -> collector_counters
 {
     const std::lock_guard guard(this->lock);
     auto counters = this->counted;
-    counters.pending_bills = this->waiting.size() + (this->sent ? this->sent->bills.size() : 0);
-    counters.pending_bytes = this->held_bytes;
+    counters.pending_bills =
+        this->waiting.size() + (this->in_flight ? this->in_flight->bills.size() : 0);
+    counters.pending_bytes = this->pending_bytes;
     return counters;
 }
 
-auto collector::hold(messages::bill item, std::shared_ptr<receipt> from, time_point now) -> void
+auto collector::add_pending(
+    messages::bill item, std::shared_ptr<handover_receipt> from, time_point now) -> void
 {
     const auto bytes = size_of(item);
-    this->held_bytes += bytes;
+    this->pending_bytes += bytes;
     const auto due = now + this->config.batch_wait;
     this->waiting.push_back({std::move(item), bytes, std::move(from), due});
 }
 
-auto collector::schedule(time_point now, actions& todo) -> void
+auto collector::schedule(time_point now, actions& deferred) -> void
 {
-    if (this->sent) {
-        if (now < this->sent->until) {
-            this->call_at(this->sent->until, todo);
+    if (this->in_flight) {
+        if (now < this->in_flight->deadline) {
+            this->call_at(this->in_flight->deadline, deferred);
             return;
         }
-        if (this->sent->at == sent_batch::stage::waiting) {
-            this->send(now, todo);
+        if (this->in_flight->current == in_flight_batch::stage::waiting) {
+            this->send(now, deferred);
             return;
         }
-        say(common::log_level::warning, "a call was given up after its time");
-        this->try_again(now);
-        this->call_at(this->sent->until, todo);
+        log(common::log_level::warning, "call timed out; retrying the batch");
+        this->schedule_retry(now);
+        this->call_at(this->in_flight->deadline, deferred);
         return;
     }
     if (this->waiting.empty()) {
         return;
     }
-    const auto is_full = this->waiting.size() >= this->config.batch_bills;
+    const auto is_full = this->waiting.size() >= this->config.max_batch_bills;
     auto due = is_full ? now : this->waiting.front().due;
     due = this->flushing ? now : std::max(due, this->next_send);
     if (now < due) {
-        this->call_at(due, todo);
+        this->call_at(due, deferred);
         return;
     }
-    this->form_batch();
-    this->send(now, todo);
+    this->start_batch();
+    this->send(now, deferred);
 }
 
-auto collector::call_at(time_point when, actions& todo) -> void
+auto collector::call_at(time_point when, actions& deferred) -> void
 {
     if (this->timer_at <= when) {
         return;
     }
     this->timer_at = when;
-    todo.push_back([this, when, weak = this->weak_from_this()] {
+    deferred.push_back([this, when, weak = this->weak_from_this()] {
         this->hooks.timer(when, [weak, when] {
             const auto self = weak.lock();
             if (!self) {
@@ -234,198 +237,204 @@
     });
 }
 
-auto collector::form_batch() -> void
+auto collector::start_batch() -> void
 {
-    const auto count = std::min(this->waiting.size(), this->config.batch_bills);
+    const auto count = std::min(this->waiting.size(), this->config.max_batch_bills);
     auto content = std::make_shared<batch>();
     content->id = {this->hooks.random(), this->hooks.random()};
     content->bills.reserve(count);
-    this->sent = std::make_unique<sent_batch>();
-    this->sent->may_forward = this->hooks.forward != nullptr;
+    this->in_flight = std::make_unique<in_flight_batch>();
+    this->in_flight->may_forward = this->hooks.forward != nullptr;
     for (std::size_t index = 0; index < count; ++index) {
-        auto held = std::move(this->waiting.front());
+        auto pending = std::move(this->waiting.front());
         this->waiting.pop_front();
-        content->bills.push_back(std::move(held.item));
-        // Bills that came from others go to the log from here; two processes that each took the
-        // other for the gatherer would else pass them to and fro for ever.
-        this->sent->may_forward = this->sent->may_forward && held.from == nullptr;
-        this->sent->bills.push_back(std::move(held));
+        content->bills.push_back(std::move(pending.item));
+        // Bills received from other processes are appended here: two processes that each choose the
+        // other as their gatherer would otherwise forward them back and forth forever.
+        this->in_flight->may_forward = this->in_flight->may_forward && pending.from == nullptr;
+        this->in_flight->bills.push_back(std::move(pending));
     }
-    this->sent->content = std::move(content);
+    this->in_flight->content = std::move(content);
 }
 
-auto collector::send(time_point now, actions& todo) -> void
+auto collector::send(time_point now, actions& deferred) -> void
 {
     this->next_send = now + this->config.append_interval;
-    this->sent->until = now + this->config.call_within;
-    ++this->turns;
-    if (this->sent->may_forward) {
-        this->forward(todo);
+    this->in_flight->deadline = now + this->config.call_timeout;
+    ++this->call_number;
+    if (this->in_flight->may_forward) {
+        this->forward(deferred);
     }
-    else if (this->sent->offset.value() != 0) {
-        this->read_back(todo);
+    else if (this->in_flight->offset.value() != 0) {
+        this->read_back(deferred);
     }
     else {
-        this->append(todo);
+        this->append(deferred);
     }
-    this->call_at(this->sent->until, todo);
+    this->call_at(this->in_flight->deadline, deferred);
 }
 
-auto collector::forward(actions& todo) -> void
+auto collector::forward(actions& deferred) -> void
 {
-    this->sent->at = sent_batch::stage::forwarding;
-    this->sent->may_forward = false;
-    todo.push_back(
-        [this, turn = this->turns, content = this->sent->content, weak = this->weak_from_this()] {
-            this->hooks.forward({content->bills}, [weak, turn](const auto& answer) {
-                if (const auto self = weak.lock()) {
-                    self->on_forwarded(turn, answer.has_value());
-                }
-            });
+    this->in_flight->current = in_flight_batch::stage::forwarding;
+    this->in_flight->may_forward = false;
+    deferred.push_back([this,
+                        call = this->call_number,
+                        content = this->in_flight->content,
+                        weak = this->weak_from_this()] {
+        this->hooks.forward({content->bills}, [weak, call](const auto& answer) {
+            if (const auto self = weak.lock()) {
+                self->on_forwarded(call, answer.has_value());
+            }
         });
+    });
 }
 
-auto collector::append(actions& todo) -> void
+auto collector::append(actions& deferred) -> void
 {
-    this->sent->at = sent_batch::stage::appending;
+    this->in_flight->current = in_flight_batch::stage::appending;
     ++this->counted.appends;
-    todo.push_back(
-        [this, turn = this->turns, content = this->sent->content, weak = this->weak_from_this()] {
-            auto done = [weak, turn](common::result<common::log_offset> answer) {
-                if (const auto self = weak.lock()) {
-                    self->on_appended(turn, std::move(answer));
-                }
-            };
-            this->hooks.log.append(platform::streams::bills, serialise(*content), std::move(done));
-        });
+    deferred.push_back([this,
+                        call = this->call_number,
+                        content = this->in_flight->content,
+                        weak = this->weak_from_this()] {
+        auto done = [weak, call](common::result<common::log_offset> answer) {
+            if (const auto self = weak.lock()) {
+                self->on_appended(call, std::move(answer));
+            }
+        };
+        this->hooks.log.append(platform::streams::bills, serialise(*content), std::move(done));
+    });
 }
 
-auto collector::read_back(actions& todo) -> void
+auto collector::read_back(actions& deferred) -> void
 {
-    this->sent->at = sent_batch::stage::reading;
-    todo.push_back(
-        [this, turn = this->turns, at = this->sent->offset, weak = this->weak_from_this()] {
-            this->hooks.log.read(
-                platform::streams::bills,
-                common::log_offset{at.value() - 1},
-                std::chrono::milliseconds::zero(),
-                [weak, turn](const common::result<platform::read_answer>& answer) {
-                    if (const auto self = weak.lock()) {
-                        self->on_read(turn, answer);
-                    }
-                });
-        });
+    this->in_flight->current = in_flight_batch::stage::reading;
+    deferred.push_back([this,
+                        call = this->call_number,
+                        at = this->in_flight->offset,
+                        weak = this->weak_from_this()] {
+        this->hooks.log.read(
+            platform::streams::bills,
+            common::log_offset{at.value() - 1},
+            std::chrono::milliseconds::zero(),
+            [weak, call](const common::result<platform::read_answer>& answer) {
+                if (const auto self = weak.lock()) {
+                    self->on_read(call, answer);
+                }
+            });
+    });
 }
 
 auto collector::on_timer(time_point when) -> void
 {
-    this->with_lock([this, when](time_point now, actions& todo) {
+    this->with_lock([this, when](time_point now, actions& deferred) {
         if (this->timer_at == when) {
             this->timer_at = common::never;
         }
-        this->schedule(now, todo);
+        this->schedule(now, deferred);
     });
 }
 
-auto collector::on_forwarded(std::uint64_t turn, bool accepted) -> void
+auto collector::on_forwarded(std::uint64_t call, bool accepted) -> void
 {
-    this->with_lock([&](time_point now, actions& todo) {
-        if (turn != this->turns || !this->sent) {
+    this->with_lock([&](time_point now, actions& deferred) {
+        if (call != this->call_number || !this->in_flight) {
             return;
         }
         if (accepted) {
-            this->confirm(todo);
-            this->schedule(now, todo);
+            this->confirm(deferred);
+            this->schedule(now, deferred);
             return;
         }
-        // The gatherer may be lost with the bills or without them: append them here.
-        this->send(now, todo);
+        // It is unknown whether the gatherer has the bills: append them here.
+        this->send(now, deferred);
     });
 }
 
-auto collector::on_appended(std::uint64_t turn, common::result<common::log_offset> answer) -> void
+auto collector::on_appended(std::uint64_t call, common::result<common::log_offset> answer) -> void
 {
-    this->with_lock([&](time_point now, actions& todo) {
-        if (turn != this->turns || !this->sent) {
+    this->with_lock([&](time_point now, actions& deferred) {
+        if (call != this->call_number || !this->in_flight) {
             return;
         }
         if (answer) {
-            this->sent->offset = *answer;
-            this->sent->until = now + this->config.call_within;
-            this->read_back(todo);
+            this->in_flight->offset = *answer;
+            this->in_flight->deadline = now + this->config.call_timeout;
+            this->read_back(deferred);
             return;
         }
-        // After a lost answer the batch may be in the log already. To send it again is harmless,
-        // since readers count a bill once by its id; not to send it could lose it.
+        // If the response was lost, the batch may be in the log already. Sending it again is
+        // harmless, since readers count a bill once by its id; not sending it could lose it.
         if (answer.error().code == result_code::append_unknown) {
             ++this->counted.resent;
         }
-        this->try_again(now);
-        this->schedule(now, todo);
+        this->schedule_retry(now);
+        this->schedule(now, deferred);
     });
 }
 
-auto collector::on_read(std::uint64_t turn, const common::result<platform::read_answer>& answer)
+auto collector::on_read(std::uint64_t call, const common::result<platform::read_answer>& answer)
     -> void
 {
-    this->with_lock([&](time_point now, actions& todo) {
-        if (turn != this->turns || !this->sent) {
+    this->with_lock([&](time_point now, actions& deferred) {
+        if (call != this->call_number || !this->in_flight) {
             return;
         }
         const auto is_ours = [this](const messages::log_record& record) {
-            if (record.offset != this->sent->offset) {
+            if (record.offset != this->in_flight->offset) {
                 return false;
             }
             const auto read = parse(record.data);
-            return read && read->id == this->sent->content->id;
+            return read && read->id == this->in_flight->content->id;
         };
         if (answer && std::ranges::any_of(answer->records, is_ours)) {
-            this->confirm(todo);
-            this->schedule(now, todo);
+            this->confirm(deferred);
+            this->schedule(now, deferred);
             return;
         }
         const auto is_unread = !answer && answer.error().code == result_code::log_unavailable;
         if (!is_unread) {
-            // The log answers without our record, or has trimmed it before any reader was sure to
-            // have it.
-            this->sent->offset = {};
+            // The log does not have the record at this offset, or trimmed it before every reader
+            // was certain to have read it.
+            this->in_flight->offset = {};
             ++this->counted.resent;
         }
-        this->try_again(now);
-        this->schedule(now, todo);
+        this->schedule_retry(now);
+        this->schedule(now, deferred);
     });
 }
 
-auto collector::try_again(time_point now) -> void
+auto collector::schedule_retry(time_point now) -> void
 {
-    ++this->turns;
-    this->sent->at = sent_batch::stage::waiting;
-    this->sent->until = now + this->retry_wait;
-    this->retry_wait = std::min(this->retry_wait * 2, this->config.longest_retry);
-    say(common::log_level::warning,
-        "batch not confirmed bills=" + std::to_string(this->sent->bills.size()));
+    ++this->call_number;
+    this->in_flight->current = in_flight_batch::stage::waiting;
+    this->in_flight->deadline = now + this->retry_wait;
+    this->retry_wait = std::min(this->retry_wait * 2, this->config.max_retry_wait);
+    log(common::log_level::warning,
+        "batch not confirmed bills=" + std::to_string(this->in_flight->bills.size()));
 }
 
-auto collector::confirm(actions& todo) -> void
+auto collector::confirm(actions& deferred) -> void
 {
-    for (auto& held : this->sent->bills) {
-        this->let_go(held, todo);
+    for (auto& pending : this->in_flight->bills) {
+        this->remove_pending(pending, deferred);
     }
-    this->sent.reset();
-    ++this->turns;
-    this->retry_wait = this->config.first_retry;
+    this->in_flight.reset();
+    ++this->call_number;
+    this->retry_wait = this->config.initial_retry_wait;
 }
 
-auto collector::let_go(held_bill& held, actions& todo) -> void
+auto collector::remove_pending(pending_bill& pending, actions& deferred) -> void
 {
-    this->held_bytes -= held.bytes;
+    this->pending_bytes -= pending.bytes;
     ++this->counted.confirmed_bills;
-    if (!held.from) {
+    if (!pending.from) {
         return;
     }
-    --held.from->open;
-    if (held.from->open == 0) {
-        todo.push_back([from = held.from] { from->done(messages::accepted{}); });
+    --pending.from->unconfirmed;
+    if (pending.from->unconfirmed == 0) {
+        deferred.push_back([from = pending.from] { from->done(messages::accepted{}); });
     }
 }
 
--- a/source/core/billing/ledger.cpp
+++ b/source/core/billing/ledger.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A request id is 128 random bits already; the organisation goes in too, since a caller of one
-/// must never be able to void the bill of another.
+/// A request id has 128 random bits already. The organisation is included so that a caller can't
+/// suppress another organisation's bill by reusing its request id.
 auto fingerprint(const messages::bill& item) -> common::request_id
 {
     const auto& organisation = item.organisation.value();
@@ -32,7 +32,7 @@
 
 } // namespace
 
-auto ledger::take(const messages::log_record& record) -> ledger_outcome
+auto ledger::apply(const messages::log_record& record) -> ledger_outcome
 {
     if (record.offset <= this->last) {
         return ledger_outcome::skipped;
@@ -44,7 +44,7 @@
         common::log(
             common::log_part::bills,
             common::log_level::warning,
-            "record skipped offset=" + std::to_string(record.offset.value()));
+            "malformed record skipped offset=" + std::to_string(record.offset.value()));
         return ledger_outcome::malformed;
     }
     auto outcome = ledger_outcome::repeated;
--- a/source/core/billing/ledger.hpp
+++ b/source/core/billing/ledger.hpp
@@ -20,15 +20,17 @@
 
 enum class ledger_outcome : std::uint8_t { counted, repeated, malformed, skipped };
 
-/// Sums the bills of the log. A bill counts once by its id, however often it was appended: a batch
-/// whose append answer was lost is sent again, and a leaving process hands over what it could not
-/// confirm, so that records repeat. It remembers all ids that it has read, about 40 bytes each.
+/// Sums the bills in the log. A bill counts once by its id, however often it was appended: a batch
+/// is sent again when the response to its append was lost, and a process that shuts down hands over
+/// the bills that it could not confirm, so bills occur in several records. The ledger keeps the ids
+/// of all bills that it has read, about 40 bytes each.
 class ledger {
 public:
-    /// Takes the next record of the stream `bills`. Gives `skipped` for an offset already taken.
-    auto take(const messages::log_record& record) -> ledger_outcome;
+    /// Applies the next record of the stream `bills`. Returns `skipped` for an offset that was
+    /// applied already, and `repeated` if none of the record's bills is new.
+    auto apply(const messages::log_record& record) -> ledger_outcome;
 
-    /// Counts one bill.
+    /// Adds one bill to the sums, unless it was counted before.
     auto count(const messages::bill& item) -> ledger_outcome;
 
     [[nodiscard]] auto by_organisation() const -> const std::map<common::organisation_id, totals>&
@@ -41,16 +43,17 @@
         return this->versions;
     }
 
+    /// Offset of the last record applied.
     [[nodiscard]] auto offset() const -> common::log_offset { return this->last; }
 
-    /// Records that could not be read.
+    /// Number of malformed records.
     [[nodiscard]] auto malformed() const -> std::uint64_t { return this->malformed_records; }
 
-    /// Bills that came a second time.
+    /// Number of bills that were counted before.
     [[nodiscard]] auto repeated() const -> std::uint64_t { return this->repeated_bills; }
 
 private:
-    /// Fingerprints of organisation and request of all bills read, 128 bits each.
+    /// 128-bit fingerprints of the organisation and request id of all bills read.
     std::unordered_set<common::request_id> seen;
     std::map<common::organisation_id, totals> organisations;
     std::map<common::version_id, totals> versions;
--- a/source/core/billing/price.cpp
+++ b/source/core/billing/price.cpp
@@ -10,9 +10,9 @@
 
 __extension__ using wide = __int128;
 
-constexpr wide tokens_of_a_price = 1'000'000;
+constexpr wide tokens_per_price_unit = 1'000'000;
 
-auto part(common::token_count tokens, common::micro_money price_per_million) -> wide
+auto unscaled_price(common::token_count tokens, common::micro_money price_per_million) -> wide
 {
     return wide{tokens.value()} * wide{price_per_million.value()};
 }
@@ -21,9 +21,9 @@
 
 auto price(const messages::usage& used, const token_prices& prices) -> common::micro_money
 {
-    const auto exact = part(used.prompt_tokens, prices.prompt_per_million) +
-                       part(used.completion_tokens, prices.completion_per_million);
-    const auto rounded = (exact + tokens_of_a_price - 1) / tokens_of_a_price;
+    const auto exact = unscaled_price(used.prompt_tokens, prices.prompt_per_million) +
+                       unscaled_price(used.completion_tokens, prices.completion_per_million);
+    const auto rounded = (exact + tokens_per_price_unit - 1) / tokens_per_price_unit;
     constexpr wide largest = std::numeric_limits<std::int64_t>::max();
     return common::micro_money{static_cast<std::int64_t>(std::clamp(rounded, wide{0}, largest))};
 }
--- a/source/core/billing/price.hpp
+++ b/source/core/billing/price.hpp
@@ -5,14 +5,14 @@
 
 namespace reedramp::billing {
 
-/// Prices of a version for a million tokens.
+/// Prices of a version per million tokens.
 struct token_prices {
     common::micro_money prompt_per_million;
     common::micro_money completion_per_million;
 };
 
-/// The price of `used`, rounded up to a whole millionth, and at the largest amount where it would
-/// overflow. The same usage has the same price in every process.
+/// Computes the price of `used`, rounded up to a whole micro unit of money and limited to the
+/// largest amount of the type. The result for the same usage is the same in every process.
 auto price(const messages::usage& used, const token_prices& prices) -> common::micro_money;
 
 } // namespace reedramp::billing
--- a/source/entry/administration.cpp
+++ b/source/entry/administration.cpp
@@ -207,7 +207,7 @@
             {
                 const std::lock_guard guard(self->lock);
                 for (const auto& record : answer->records) {
-                    self->ledger.take(record);
+                    self->ledger.apply(record);
                 }
             }
             const auto is_read =
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -181,7 +181,7 @@
 auto entry_process::make_bills() -> void
 {
     billing::collector_config config;
-    config.full_bytes = this->settings.pending_bills_limit_bytes;
+    config.max_pending_bytes = this->settings.pending_bills_limit_bytes;
     billing::collector_hooks hooks;
     hooks.log = this->log;
     hooks.now = daemon::boot_time;
--- a/source/entry/entry_process_shutdown.cpp
+++ b/source/entry/entry_process_shutdown.cpp
@@ -96,7 +96,7 @@
         return;
     }
     const auto& to = others[daemon::random_bits() % others.size()];
-    const auto items = this->bills->hand_over();
+    const auto items = this->bills->make_handover();
     this->peers->peers().hand_over(
         to.rpc,
         items,
--- a/source/unit_tests/billing/collector_test.cpp
+++ b/source/unit_tests/billing/collector_test.cpp
@@ -36,8 +36,8 @@
     return item;
 }
 
-/// Collectors over one fake log on virtual time.
-struct bench {
+/// Collectors on one fake log and virtual time.
+struct fixture {
     platform::fake_time time{time_point{1h}};
     platform::fake_log log{time.clock(), time.timers()};
     std::uint64_t random = 0;
@@ -49,23 +49,23 @@
                 }};
     }
 
-    auto collect(collector_config config = {}) -> std::shared_ptr<collector>
+    auto make_collector(collector_config config = {}) -> std::shared_ptr<collector>
     {
         return collector::create(config, this->hooks());
     }
 
-    auto read() -> ledger
+    auto read_ledger() -> ledger
     {
         ledger read;
         for (const auto& record : this->log.records(bills)) {
-            read.take(record);
+            read.apply(record);
         }
         return read;
     }
 
-    auto billed() -> std::uint64_t
+    auto billed_requests() -> std::uint64_t
     {
-        const auto all = this->read().by_organisation();
+        const auto all = this->read_ledger().by_organisation();
         return all.empty() ? 0 : all.begin()->second.requests;
     }
 };
@@ -73,60 +73,60 @@
 struct fault_row {
     std::string what;
     platform::log_faults faults;
-    /// Records that the log keeps; 0 keeps all.
+    /// Number of records that the log keeps; 0 keeps all.
     std::size_t kept = 0;
     bool expect_repeats = false;
 };
 
 } // namespace
 
-TEST_CASE("each bill counts once whatever the log does", "[billing]")
+TEST_CASE("each bill counts once under all faults of the log", "[billing]")
 {
-    // Requests end for ten seconds while the log misbehaves, then it is well again. Whoever reads
-    // the bills sees each request once: batches are kept until read back, sent again when an answer
-    // was lost, and a repeat is dropped by its id.
+    // The log is faulty for ten seconds while requests end, and then recovers. A reader must count
+    // each request once: batches are kept until they are read back and sent again when a response
+    // was lost, and the reader ignores duplicates by their id.
     const std::vector<fault_row> rows = {
-        {"nothing is wrong", {}},
-        {"answers come late", {.slow = 700ms}},
-        {"answers come later than calls may take", {.slow = 15s}, 0, true},
-        {"every second answer is lost", {.lose_answer_every = 2}, 0, true},
-        {"every answer is lost", {.lose_answer_every = 1}, 0, true},
+        {"no fault", {}},
+        {"responses are delayed", {.slow = 700ms}},
+        {"responses are delayed beyond the call timeout", {.slow = 15s}, 0, true},
+        {"every second response is lost", {.lose_answer_every = 2}, 0, true},
+        {"every response is lost", {.lose_answer_every = 1}, 0, true},
         {"every second append is lost", {.lose_append_every = 2}},
-        {"both are lost", {.lose_answer_every = 3, .lose_append_every = 2}, 0, true},
+        {"both are lost at times", {.lose_answer_every = 3, .lose_append_every = 2}, 0, true},
         {"the log is down", {.down = true}},
     };
     for (const auto& row : rows) {
         INFO(row.what);
-        bench one;
-        const auto collector = one.collect();
-        one.log.set_faults(row.faults);
+        fixture env;
+        const auto collector = env.make_collector();
+        env.log.set_faults(row.faults);
         for (std::uint64_t number = 1; number <= 200; ++number) {
             collector->add(make_bill(number));
-            one.time.run_for(50ms);
+            env.time.run_for(50ms);
         }
-        one.time.run_for(40s);
+        env.time.run_for(40s);
         CHECK(
             collector->empty() !=
             (row.faults.down || row.faults.lose_answer_every == 1 || row.faults.slow > 10s));
-        one.log.set_faults({});
-        one.time.run_for(30s);
+        env.log.set_faults({});
+        env.time.run_for(30s);
         CHECK(collector->empty());
         CHECK(collector->counters().pending_bytes == 0);
-        const auto read = one.read();
-        CHECK(one.billed() == 200);
+        const auto read = env.read_ledger();
+        CHECK(env.billed_requests() == 200);
         CHECK(read.by_organisation().begin()->second.cost == common::micro_money{1400});
         CHECK((read.repeated() > 0) == row.expect_repeats);
         CHECK(read.malformed() == 0);
     }
 }
 
-TEST_CASE("at the bound new work is refused and no bill is dropped", "[billing]")
+TEST_CASE("at the limit new work is refused and no bill is dropped", "[billing]")
 {
-    // The log is down for very long. Callers get refusals (not_run) once the bound is reached; the
-    // bills of what still runs are kept, and all of them reach the log when it is back.
-    bench one;
-    const auto collector = one.collect({.full_bytes = 20'000});
-    one.log.set_faults({.down = true});
+    // The log is down for an hour. Once the limit is reached, callers are refused (not_run). The
+    // bills of requests that still run are kept, and all bills reach the log when it is back.
+    fixture env;
+    const auto collector = env.make_collector({.max_pending_bytes = 20'000});
+    env.log.set_faults({.down = true});
     std::uint64_t number = 0;
     while (collector->accepts_work()) {
         collector->add(make_bill(++number));
@@ -135,70 +135,70 @@
     for (int running = 0; running < 5; ++running) {
         collector->add(make_bill(++number));
     }
-    one.time.run_for(1h);
+    env.time.run_for(1h);
     CHECK_FALSE(collector->accepts_work());
-    one.log.set_faults({});
-    one.time.run_for(10s);
+    env.log.set_faults({});
+    env.time.run_for(10s);
     CHECK(collector->accepts_work());
-    CHECK(one.billed() == number);
+    CHECK(env.billed_requests() == number);
 }
 
-TEST_CASE("a leaving process hands its bills to a peer", "[billing]")
+TEST_CASE("a process that shuts down hands its bills to a peer", "[billing]")
 {
-    // A process is told to leave while the log is down, or after an append whose answer was lost.
-    // It gives its bills to a peer and exits; the peer appends them, and each counts once.
+    // A process shuts down while the log is down, or after an append whose response was lost. It
+    // hands its bills to a peer and exits. The peer appends them, and each must count once.
     for (const auto& faults :
          {platform::log_faults{.down = true}, platform::log_faults{.lose_answer_every = 1}}) {
-        bench one;
-        auto leaving = one.collect();
-        const auto peer = one.collect();
-        one.log.set_faults(faults);
+        fixture env;
+        auto leaving = env.make_collector();
+        const auto peer = env.make_collector();
+        env.log.set_faults(faults);
         for (std::uint64_t number = 1; number <= 30; ++number) {
             leaving->add(make_bill(number));
         }
         leaving->flush();
-        one.time.run_for(100ms);
-        const auto handed = leaving->hand_over();
+        env.time.run_for(100ms);
+        const auto handed = leaving->make_handover();
         CHECK(handed.bills.size() == 30);
         auto confirmed = false;
         peer->receive(handed, [&](const auto& answer) { confirmed = answer.has_value(); });
         leaving.reset();
-        one.time.run_for(1min);
+        env.time.run_for(1min);
         CHECK_FALSE(confirmed);
-        one.log.set_faults({});
-        one.time.run_for(10s);
+        env.log.set_faults({});
+        env.time.run_for(10s);
         CHECK(confirmed);
-        CHECK(one.billed() == 30);
+        CHECK(env.billed_requests() == 30);
     }
 }
 
 TEST_CASE("released bills are not sent again", "[billing]")
 {
-    bench one;
-    const auto collector = one.collect();
-    one.log.set_faults({.down = true});
+    fixture env;
+    const auto collector = env.make_collector();
+    env.log.set_faults({.down = true});
     for (std::uint64_t number = 1; number <= 30; ++number) {
         collector->add(make_bill(number));
-        one.time.run_for(100ms);
+        env.time.run_for(100ms);
     }
-    collector->release(collector->hand_over());
+    collector->release(collector->make_handover());
     CHECK(collector->empty());
     CHECK(collector->counters().pending_bytes == 0);
-    one.log.set_faults({});
-    one.time.run_for(1min);
-    CHECK(one.billed() == 0);
+    env.log.set_faults({});
+    env.time.run_for(1min);
+    CHECK(env.billed_requests() == 0);
 }
 
-TEST_CASE("bills outlive the gatherer that was to append them", "[billing]")
+TEST_CASE("bills survive the loss of the gatherer that was to append them", "[billing]")
 {
-    // In a large fleet an entry sends its bills to a gatherer. The gatherer dies before it appends
-    // them, or after that but before it says so, or cannot be reached. The entry still holds them,
-    // appends them itself, and each counts once.
-    for (const auto dies_after : {0ms, 400ms, 1200ms, 60'000ms}) {
-        INFO(dies_after.count());
-        bench one;
-        auto gatherer = one.collect();
-        auto hooks = one.hooks();
+    // In a large fleet an entry sends its bills to a gatherer. The gatherer fails before it appends
+    // them, or between the append and its response, or is unreachable. The entry still has the
+    // bills and appends them itself, and each must count once.
+    for (const auto fails_after : {0ms, 400ms, 1200ms, 60'000ms}) {
+        INFO(fails_after.count());
+        fixture env;
+        auto gatherer = env.make_collector();
+        auto hooks = env.hooks();
         hooks.forward = [&](messages::bill_handover sent, auto done) {
             if (!gatherer) {
                 done(common::failure(common::result_code::peer_unavailable));
@@ -207,22 +207,22 @@
             gatherer->receive(std::move(sent), std::move(done));
         };
         const auto entry = collector::create({}, hooks);
-        one.time.at(one.time.now() + 500ms + dies_after, [&] { gatherer.reset(); });
+        env.time.at(env.time.now() + 500ms + fails_after, [&] { gatherer.reset(); });
         for (std::uint64_t number = 1; number <= 100; ++number) {
             entry->add(make_bill(number));
-            one.time.run_for(100ms);
+            env.time.run_for(100ms);
         }
-        one.time.run_for(30s);
+        env.time.run_for(30s);
         CHECK(entry->empty());
-        CHECK(one.billed() == 100);
+        CHECK(env.billed_requests() == 100);
     }
 }
 
-TEST_CASE("bills of others cannot fill the bound of a gatherer", "[billing]")
+TEST_CASE("bills of other entries cannot use up a gatherer's limit", "[billing]")
 {
-    bench one;
-    const auto gatherer = one.collect({.full_bytes = 20'000});
-    one.log.set_faults({.down = true});
+    fixture env;
+    const auto gatherer = env.make_collector({.max_pending_bytes = 20'000});
+    env.log.set_faults({.down = true});
     common::result_code last = common::result_code::ok;
     for (std::uint64_t number = 1; number <= 100; ++number) {
         gatherer->receive({{make_bill(number)}}, [&](const auto& answer) {
@@ -233,7 +233,7 @@
     CHECK(gatherer->accepts_work());
 }
 
-TEST_CASE("few entries append themselves, many through gatherers", "[billing]")
+TEST_CASE("few entries append their own bills, many send them to gatherers", "[billing]")
 {
     std::vector<common::host_id> entries;
     std::size_t own = 0;
@@ -250,19 +250,19 @@
     CHECK_FALSE(gatherer_for(entries.front(), entries));
 }
 
-TEST_CASE("an hour without the log stays inside the bound", "[.bench]")
+TEST_CASE("the bills of an hour without the log stay within the limit", "[.bench]")
 {
-    constexpr int requests_a_second = 20;
-    bench one;
-    const auto collector = one.collect();
-    one.log.set_faults({.down = true});
+    constexpr int requests_per_second = 20;
+    fixture env;
+    const auto collector = env.make_collector();
+    env.log.set_faults({.down = true});
     const auto before = mallinfo2().uordblks;
     std::uint64_t number = 0;
     for (int second = 0; second < 3600; ++second) {
-        for (int request = 0; request < requests_a_second; ++request) {
+        for (int request = 0; request < requests_per_second; ++request) {
             collector->add(make_bill(++number));
         }
-        one.time.run_for(1s);
+        env.time.run_for(1s);
     }
     const auto held = mallinfo2().uordblks - before;
     const auto pending = collector->counters();
@@ -274,17 +274,17 @@
         static_cast<double>(pending.pending_bytes) / static_cast<double>(number));
     std::printf("METRIC bills_pending_after_log_hour %zu bills\n", pending.pending_bills);
     CHECK(collector->accepts_work());
-    one.log.set_faults({});
-    one.time.run_for(2min);
+    env.log.set_faults({});
+    env.time.run_for(2min);
     std::size_t record_bytes = 0;
-    for (const auto& record : one.log.records(bills)) {
+    for (const auto& record : env.log.records(bills)) {
         record_bytes += record.data.size();
     }
     std::printf(
         "METRIC bill_bytes_in_log %.1f bytes\n",
         static_cast<double>(record_bytes) / static_cast<double>(number));
     CHECK(collector->empty());
-    CHECK(one.billed() == number);
+    CHECK(env.billed_requests() == number);
 }
 
 } // namespace reedramp::billing
--- a/source/unit_tests/billing/ledger_test.cpp
+++ b/source/unit_tests/billing/ledger_test.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("records of bills are read back as they were", "[billing]")
+TEST_CASE("records of bills are parsed to the same content", "[billing]")
 {
     const batch made{{5, 6}, {two_line_bill(), two_line_bill()}};
     const auto read = parse(serialise(made));
@@ -55,10 +55,10 @@
     CHECK(read->bills.front().lines.back().used.completion_tokens == token_count{40});
 }
 
-TEST_CASE("a record that cannot be read is skipped and counted", "[billing]")
+TEST_CASE("a malformed record is skipped and counted", "[billing]")
 {
-    // Somebody appended something else to the stream. Every reader passes over it alike and goes
-    // on; totals are not affected.
+    // The stream contains a record that is no record of bills. Every reader skips it and continues,
+    // and the totals are not affected.
     const auto good = serialise({{5, 6}, {two_line_bill()}});
     const std::string start = R"({"id":"00000000000000050000000000000006","bills":)";
     const std::string request = R"("00000000000000050000000000000006")";
@@ -76,12 +76,12 @@
     std::uint64_t offset = 0;
     for (const auto& data : bad) {
         INFO(data);
-        CHECK(read.take({log_offset{++offset}, data}) == ledger_outcome::malformed);
+        CHECK(read.apply({log_offset{++offset}, data}) == ledger_outcome::malformed);
     }
     CHECK(read.malformed() == bad.size());
-    CHECK(read.take({log_offset{++offset}, good}) == ledger_outcome::counted);
-    CHECK(read.take({log_offset{offset}, good}) == ledger_outcome::skipped);
-    CHECK(read.take({log_offset{++offset}, good}) == ledger_outcome::repeated);
+    CHECK(read.apply({log_offset{++offset}, good}) == ledger_outcome::counted);
+    CHECK(read.apply({log_offset{offset}, good}) == ledger_outcome::skipped);
+    CHECK(read.apply({log_offset{++offset}, good}) == ledger_outcome::repeated);
     REQUIRE(read.by_organisation().size() == 1);
     const auto& sum = read.by_organisation().begin()->second;
     CHECK(sum.requests == 1);
@@ -90,7 +90,7 @@
     CHECK(read.by_version().at(common::version_id{"large-1"}).cost == micro_money{50});
 }
 
-TEST_CASE("one request id in two organisations is two bills", "[billing]")
+TEST_CASE("one request id in two organisations counts as two bills", "[billing]")
 {
     ledger read;
     auto other = two_line_bill();
@@ -114,7 +114,7 @@
          {token_count{500'000}, token_count{500'000}},
          {micro_money{1}, micro_money{1}},
          1},
-        {"too much for the type", {token_count{~0ULL}, {}}, {micro_money{most}, {}}, most},
+        {"more than the type can hold", {token_count{~0ULL}, {}}, {micro_money{most}, {}}, most},
     };
     for (const auto& row : rows) {
         INFO(row.what);
--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -436,7 +436,7 @@
         look_after(check_period);
         return;
     }
-    const auto items = node.bills->hand_over();
+    const auto items = node.bills->make_handover();
     this->net.peers_for(node.alive)
         .hand_over(
             others.front().rpc,
--- a/source/unit_tests/whole_path/whole_path_test.cpp
+++ b/source/unit_tests/whole_path/whole_path_test.cpp
@@ -39,7 +39,7 @@
 {
     billing::ledger read;
     for (const auto& record : all.log.records(platform::streams::bills)) {
-        read.take(record);
+        read.apply(record);
     }
     return read;
 }
