--- a/source/unit_tests/agent/agent_fixture.hpp
+++ b/source/unit_tests/agent/agent_fixture.hpp
@@ -9,7 +9,7 @@
 #include "agent/core.hpp"
 #include "platform/fake_time.hpp"
 
-/// One agent's core on a virtual clock, with a backend server that does what the test says.
+/// One agent's core on a virtual clock, with a backend server controlled by the test.
 namespace reedramp::agent::test {
 
 using namespace std::chrono_literals;
@@ -51,7 +51,7 @@
         this->events.done({});
     }
 
-    auto break_off(common::execution run) -> void
+    auto fail(common::execution run) -> void
     {
         auto why = common::make_error(common::result_code::server_lost);
         why.run = run;
@@ -59,14 +59,14 @@
     }
 };
 
-/// What one reader saw.
-struct reader {
+/// Records the events of one run.
+struct event_recorder {
     std::vector<messages::run_event> events;
     std::shared_ptr<messages::run_handle> handle;
 
-    /// The only final event, as `Event`; null if it is another one or has not come.
+    /// The final event if it is an `Event`; null if it is of another type or has not arrived.
     template <typename Event>
-    [[nodiscard]] auto last() const -> const Event*
+    [[nodiscard]] auto final_event() const -> const Event*
     {
         return this->events.empty() ? nullptr : std::get_if<Event>(&this->events.back());
     }
@@ -92,15 +92,15 @@
            std::string(to_string(why.run));
 }
 
-inline auto reader::outcome() const -> std::string
+inline auto event_recorder::outcome() const -> std::string
 {
-    if (const auto* away = this->last<messages::refused_event>()) {
-        return describe("refused", away->why);
+    if (const auto* refusal = this->final_event<messages::refused_event>()) {
+        return describe("refused", refusal->why);
     }
-    if (const auto* broken = this->last<messages::failed_event>()) {
-        return describe("failed", broken->why);
+    if (const auto* failure = this->final_event<messages::failed_event>()) {
+        return describe("failed", failure->why);
     }
-    return this->last<messages::finished_event>() != nullptr ? "finished" : "none";
+    return this->final_event<messages::finished_event>() != nullptr ? "finished" : "none";
 }
 
 inline const common::incarnation_id incarnation{41};
@@ -142,9 +142,9 @@
     return made;
 }
 
-class harness {
+class core_fixture {
 public:
-    explicit harness(core_options wanted = {})
+    explicit core_fixture(core_options wanted = {})
     {
         wanted.server = common::server_id{"s1"};
         if (wanted.incarnation.value() == 0) {
@@ -169,26 +169,26 @@
         hooks.current_until = [this] {
             return this->current_until;
         };
-        hooks.catch_up = [this](common::log_offset wanted_offset) {
-            this->asked_for = wanted_offset;
+        hooks.fetch_configuration = [this](common::log_offset wanted_offset) {
+            this->requested_offset = wanted_offset;
         };
         hooks.report_usage = [this](const usage_report& report) {
             this->usage.push_back(report);
         };
-        this->agent = core::create(wanted, hooks);
-        this->service = this->agent->service();
+        this->core = core::create(wanted, hooks);
+        this->service = this->core->service();
     }
 
-    /// Ends what still runs, so that calls and readers let go of each other.
-    ~harness()
+    /// Ends all runs, so that calls and event sinks release each other.
+    ~core_fixture()
     {
-        this->agent->drain();
-        this->agent->cut();
+        this->core->drain();
+        this->core->fail_all_runs();
         this->time.run_due();
     }
 
-    harness(const harness&) = delete;
-    auto operator=(const harness&) -> harness& = delete;
+    core_fixture(const core_fixture&) = delete;
+    auto operator=(const core_fixture&) -> core_fixture& = delete;
 
     static auto chat(std::uint64_t id, std::uint32_t attempt = 1) -> messages::run_request
     {
@@ -204,7 +204,7 @@
         return made;
     }
 
-    /// A call that must not be repeated.
+    /// Call of a method that must run at most once.
     static auto invoice(std::uint64_t id, std::uint32_t attempt = 1) -> messages::run_request
     {
         auto made = chat(id, attempt);
@@ -219,34 +219,36 @@
         return made;
     }
 
-    auto run(messages::run_request request) -> std::shared_ptr<reader>
+    auto run(messages::run_request request) -> std::shared_ptr<event_recorder>
     {
-        auto sees = std::make_shared<reader>();
-        sees->handle = this->service.run(std::move(request), [sees](messages::run_event event) {
-            sees->events.push_back(std::move(event));
-        });
+        auto recorder = std::make_shared<event_recorder>();
+        recorder->handle =
+            this->service.run(std::move(request), [recorder](messages::run_event event) {
+                recorder->events.push_back(std::move(event));
+            });
         this->time.run_due();
-        return sees;
+        return recorder;
     }
 
     auto ask(const messages::run_key& key, bool refuse_if_unknown = true)
         -> messages::outcome_answer
     {
-        messages::outcome_answer seen;
-        this->service.ask(
-            {key, refuse_if_unknown}, [&seen](auto answer) { seen = std::move(answer.value()); });
-        return seen;
+        messages::outcome_answer result;
+        this->service.ask({key, refuse_if_unknown}, [&result](auto answer) {
+            result = std::move(answer.value());
+        });
+        return result;
     }
 
     auto probe(const char* version) -> messages::probe_answer
     {
-        messages::probe_answer seen;
+        messages::probe_answer result;
         this->service.probe(
-            {common::version_id{version}, 0}, [&seen](auto answer) { seen = answer.value(); });
-        return seen;
+            {common::version_id{version}, 0}, [&result](auto answer) { result = answer.value(); });
+        return result;
     }
 
-    /// Puts a changed configuration in force.
+    /// Applies a changed configuration.
     template <typename Change>
     auto configure(Change change) -> void
     {
@@ -254,7 +256,7 @@
         next->offset = common::log_offset{next->offset.value() + 1};
         change(*next);
         this->current = next;
-        this->agent->configuration_changed();
+        this->core->configuration_changed();
         this->time.run_due();
     }
 
@@ -263,8 +265,8 @@
     std::vector<usage_report> usage;
     inventory::snapshot_ptr current = std::make_shared<const inventory::state>(make_state());
     common::time_point current_until = common::never;
-    common::log_offset asked_for;
-    std::shared_ptr<core> agent;
+    common::log_offset requested_offset;
+    std::shared_ptr<agent::core> core;
     messages::agent_service service;
 };
 
@@ -273,7 +275,7 @@
     state.withdrawn[common::version_id{version}] = state.offset;
 }
 
-/// Options with one slot, so that the second request queues.
+/// Options with one slot, so that a second request is queued.
 inline auto one_slot() -> core_options
 {
     core_options options;
