--- a/source/agent/agent_process.cpp
+++ b/source/agent/agent_process.cpp
@@ -89,7 +89,7 @@
     options.idle_timeout = this->settings.log_timeout;
     platform::http_log_options where;
     where.where = this->settings.log;
-    where.longest_wait = this->settings.log_timeout;
+    where.client_idle_timeout = this->settings.log_timeout;
     auto client = http::client::create(this->threads.next_context(), options);
     return platform::make_http_log(std::move(client), where);
 }
--- a/source/core/platform/fake_log.cpp
+++ b/source/core/platform/fake_log.cpp
@@ -8,8 +8,8 @@
 using common::failure;
 using common::result_code;
 
-fake_log::fake_log(common::clock_hook given_clock, common::timer_hook given_timers)
-    : clock(std::move(given_clock)), timers(std::move(given_timers))
+fake_log::fake_log(common::clock_hook initial_clock, common::timer_hook initial_timers)
+    : clock(std::move(initial_clock)), timers(std::move(initial_timers))
 {
 }
 
@@ -38,7 +38,7 @@
     }
     for (auto& [name, state] : this->streams) {
         auto readers = std::exchange(state.readers, {});
-        for (auto& [ticket, waiting] : readers) {
+        for (auto& [reader_id, waiting] : readers) {
             this->answer_later([done = std::move(waiting.done)] {
                 done(failure(result_code::log_unavailable, "the log is down"));
             });
@@ -52,8 +52,8 @@
     ++state.last_offset;
     const common::log_offset offset{state.last_offset};
     state.records.push_back({offset, std::move(data)});
-    this->drop_old(state);
-    this->wake_readers(state);
+    this->trim_to_retention(state);
+    this->answer_ready_readers(state);
     return offset;
 }
 
@@ -67,15 +67,15 @@
 
 auto fake_log::keep(std::size_t records) -> void
 {
-    this->kept_records = records;
+    this->retention = records;
     for (auto& [name, state] : this->streams) {
-        this->drop_old(state);
+        this->trim_to_retention(state);
     }
 }
 
-auto fake_log::drop_old(stream_state& state) const -> void
+auto fake_log::trim_to_retention(stream_state& state) const -> void
 {
-    while (this->kept_records != 0 && state.records.size() > this->kept_records) {
+    while (this->retention != 0 && state.records.size() > this->retention) {
         state.records.pop_front();
     }
 }
@@ -108,16 +108,16 @@
 auto fake_log::append(
     const std::string& stream, std::string data, answer_hook<common::log_offset> done) -> void
 {
-    if (this->current.down || !this->take_append_slot()) {
-        const auto* why = this->current.down ? "the log is down" : "too many appends a second";
+    if (this->current.down || !this->try_acquire_append()) {
+        const auto* why = this->current.down ? "the log is down" : "too many appends per second";
         this->answer_later(
             [done = std::move(done), why] { done(failure(result_code::log_unavailable, why)); });
         return;
     }
-    const auto is_hit = [count = this->asked_appends](std::uint32_t every) {
-        return every != 0 && count % every == 0;
+    const auto is_affected = [count = this->append_attempts](std::uint32_t interval) {
+        return interval != 0 && count % interval == 0;
     };
-    if (is_hit(this->current.lose_append_every)) {
+    if (is_affected(this->current.lose_append_every)) {
         this->answer_later([done = std::move(done)] {
             done(failure(result_code::append_unknown, "the append was lost"));
         });
@@ -125,7 +125,7 @@
     }
     const auto offset = this->put(stream, std::move(data));
     ++this->appended;
-    if (is_hit(this->current.lose_answer_every)) {
+    if (is_affected(this->current.lose_answer_every)) {
         this->answer_later([done = std::move(done)] {
             done(failure(result_code::append_unknown, "the answer was lost"));
         });
@@ -149,57 +149,57 @@
     auto& state = this->streams[stream];
     const auto is_at_head = after.value() >= state.last_offset;
     if (is_at_head && wait > std::chrono::milliseconds::zero()) {
-        const auto ticket = this->next_ticket++;
+        const auto reader_id = this->next_reader_id++;
         const auto until = this->clock() + wait;
-        state.readers.emplace(ticket, reader{after, until, std::move(done)});
-        this->timers(until, [this, stream, ticket] { this->expire_reader(stream, ticket); });
+        state.readers.emplace(reader_id, reader{after, until, std::move(done)});
+        this->timers(until, [this, stream, reader_id] { this->expire_reader(stream, reader_id); });
         return;
     }
     this->answer_later(
-        [done = std::move(done), answer = answer_for(state, after)] { done(answer); });
+        [done = std::move(done), answer = make_answer(state, after)] { done(answer); });
 }
 
-auto fake_log::take_append_slot() -> bool
+auto fake_log::try_acquire_append() -> bool
 {
-    ++this->asked_appends;
+    ++this->append_attempts;
     const auto now = this->clock();
-    if (now >= this->second_ends) {
-        this->second_ends = now + std::chrono::seconds(1);
-        this->appends_in_second = 0;
+    if (now >= this->window_end) {
+        this->window_end = now + std::chrono::seconds(1);
+        this->appends_in_window = 0;
     }
     const auto limit = this->current.appends_per_second;
-    if (limit != 0 && this->appends_in_second >= limit) {
+    if (limit != 0 && this->appends_in_window >= limit) {
         return false;
     }
-    ++this->appends_in_second;
+    ++this->appends_in_window;
     return true;
 }
 
-auto fake_log::wake_readers(stream_state& state) -> void
+auto fake_log::answer_ready_readers(stream_state& state) -> void
 {
     auto readers = std::exchange(state.readers, {});
-    for (auto& [ticket, waiting] : readers) {
+    for (auto& [reader_id, waiting] : readers) {
         if (waiting.after.value() >= state.last_offset) {
-            state.readers.emplace(ticket, std::move(waiting));
+            state.readers.emplace(reader_id, std::move(waiting));
             continue;
         }
         this->answer_later([done = std::move(waiting.done),
-                            answer = answer_for(state, waiting.after)] { done(answer); });
+                            answer = make_answer(state, waiting.after)] { done(answer); });
     }
 }
 
-auto fake_log::expire_reader(const std::string& stream, std::uint64_t ticket) -> void
+auto fake_log::expire_reader(const std::string& stream, std::uint64_t reader_id) -> void
 {
     auto& state = this->streams[stream];
-    auto expired = state.readers.extract(ticket);
+    auto expired = state.readers.extract(reader_id);
     if (expired.empty()) {
         return;
     }
-    const auto answer = answer_for(state, expired.mapped().after);
+    const auto answer = make_answer(state, expired.mapped().after);
     this->answer_later([done = std::move(expired.mapped().done), answer] { done(answer); });
 }
 
-auto fake_log::answer_for(const stream_state& state, common::log_offset after)
+auto fake_log::make_answer(const stream_state& state, common::log_offset after)
     -> common::result<read_answer>
 {
     const auto oldest = state.last_offset - state.records.size() + 1;
--- a/source/core/platform/fake_log.hpp
+++ b/source/core/platform/fake_log.hpp
@@ -13,22 +13,22 @@
 
 namespace reedramp::platform {
 
-/// What can be wrong with the fake log. Zero switches a fault off.
+/// Faults of the fake log. A value of zero disables a fault.
 struct log_faults {
-    /// Appends and reads are refused with `log_unavailable`; long polls under way too.
+    /// Appends and reads fail with `log_unavailable`, pending long polls included.
     bool down = false;
-    /// How much later each answer comes. The effect itself is at once.
+    /// Delay of each answer. Appends still take effect immediately.
     common::duration slow{};
-    /// Of each so many appends the last takes effect, and its answer is `append_unknown`.
+    /// Every n-th append takes effect, but is answered with `append_unknown`.
     std::uint32_t lose_answer_every = 0;
-    /// Of each so many appends the last takes no effect, and its answer is `append_unknown`.
+    /// Every n-th append takes no effect and is answered with `append_unknown`.
     std::uint32_t lose_append_every = 0;
-    /// More appends than this within a second are refused with `log_unavailable`.
+    /// Further appends within the same second fail with `log_unavailable`.
     std::uint32_t appends_per_second = 0;
 };
 
-/// The append-only log in memory, for tests and for the stand-in. It reads no clock: time and
-/// timers are given. Answers come through a timer, never from inside the call. One thread only.
+/// An in-memory append-only log for tests and the stand-in. Time and timers are injected. Answers
+/// are delivered by a timer, never from inside the call. Not thread-safe.
 class fake_log {
 public:
     fake_log(common::clock_hook clock, common::timer_hook timers);
@@ -36,30 +36,30 @@
     fake_log(const fake_log&) = delete;
     auto operator=(const fake_log&) -> fake_log& = delete;
 
-    /// The hooks refer to this object, which has to outlive them and their timers.
+    /// The returned hooks refer to this object, which has to outlive them and their timers.
     auto hooks() -> log_hooks;
 
     auto set_faults(log_faults wanted) -> void;
 
     [[nodiscard]] auto faults() const -> const log_faults& { return this->current; }
 
-    /// Appends whatever the faults say, as an operator's or another process's record.
+    /// Appends a record regardless of the faults, as if written by an operator or another process.
     auto put(const std::string& stream, std::string data) -> common::log_offset;
 
-    /// Drops the records before `oldest`.
+    /// Removes the records before `oldest`.
     auto trim(const std::string& stream, common::log_offset oldest) -> void;
 
-    /// Keeps only the newest so many records of each stream from now on; 0 keeps all.
+    /// Limits each stream to its newest `records` records from now on; 0 for no limit.
     auto keep(std::size_t records) -> void;
 
     [[nodiscard]] auto head(const std::string& stream) const -> common::log_offset;
     [[nodiscard]] auto oldest(const std::string& stream) const -> common::log_offset;
 
-    /// All records that the stream still holds.
+    /// All records that have not been trimmed.
     [[nodiscard]] auto records(const std::string& stream) const
         -> std::vector<messages::log_record>;
 
-    /// Appends that took effect through the hooks, in all streams.
+    /// Number of appends through the hooks that took effect, over all streams.
     [[nodiscard]] auto append_count() const -> std::uint64_t { return this->appended; }
 
 private:
@@ -83,12 +83,12 @@
         std::chrono::milliseconds wait,
         answer_hook<read_answer> done) -> void;
 
-    /// Whether one more append fits in the running second.
-    auto take_append_slot() -> bool;
-    auto drop_old(stream_state& state) const -> void;
-    auto wake_readers(stream_state& state) -> void;
-    auto expire_reader(const std::string& stream, std::uint64_t ticket) -> void;
-    static auto answer_for(const stream_state& state, common::log_offset after)
+    /// Counts an append; returns whether it is within the rate limit of the current second.
+    auto try_acquire_append() -> bool;
+    auto trim_to_retention(stream_state& state) const -> void;
+    auto answer_ready_readers(stream_state& state) -> void;
+    auto expire_reader(const std::string& stream, std::uint64_t reader_id) -> void;
+    static auto make_answer(const stream_state& state, common::log_offset after)
         -> common::result<read_answer>;
     auto answer_later(std::function<auto()->void> answer) -> void;
 
@@ -96,12 +96,12 @@
     common::timer_hook timers;
     log_faults current;
     std::map<std::string, stream_state> streams;
-    std::size_t kept_records = 0;
-    std::uint64_t asked_appends = 0;
+    std::size_t retention = 0;
+    std::uint64_t append_attempts = 0;
     std::uint64_t appended = 0;
-    std::uint64_t next_ticket = 0;
-    common::time_point second_ends{};
-    std::uint32_t appends_in_second = 0;
+    std::uint64_t next_reader_id = 0;
+    common::time_point window_end{};
+    std::uint32_t appends_in_window = 0;
 };
 
 } // namespace reedramp::platform
--- a/source/core/platform/fake_platform.cpp
+++ b/source/core/platform/fake_platform.cpp
@@ -15,8 +15,8 @@
 
 } // namespace
 
-fake_hosts::fake_hosts(common::clock_hook given_clock, common::timer_hook given_timers)
-    : clock(std::move(given_clock)), timers(std::move(given_timers))
+fake_hosts::fake_hosts(common::clock_hook initial_clock, common::timer_hook initial_timers)
+    : clock(std::move(initial_clock)), timers(std::move(initial_timers))
 {
 }
 
@@ -37,13 +37,13 @@
 
 auto fake_hosts::put(host_entry entry) -> void
 {
-    this->change_later(
+    this->apply_delayed(
         [this, entry = std::move(entry)] { this->entries.insert_or_assign(entry.host, entry); });
 }
 
 auto fake_hosts::remove(const common::host_id& host) -> void
 {
-    this->change_later([this, host] { this->entries.erase(host); });
+    this->apply_delayed([this, host] { this->entries.erase(host); });
 }
 
 auto fake_hosts::visible() const -> std::vector<host_entry>
@@ -56,7 +56,7 @@
     return rows;
 }
 
-auto fake_hosts::change_later(std::function<auto()->void> change) -> void
+auto fake_hosts::apply_delayed(std::function<auto()->void> change) -> void
 {
     if (this->lag == common::duration::zero()) {
         change();
@@ -66,8 +66,9 @@
 }
 
 fake_ratings::fake_ratings(
-    common::clock_hook given_clock, common::timer_hook given_timers, score_hook given_score)
-    : clock(std::move(given_clock)), timers(std::move(given_timers)), score(std::move(given_score))
+    common::clock_hook initial_clock, common::timer_hook initial_timers, score_hook initial_score)
+    : clock(std::move(initial_clock)), timers(std::move(initial_timers)),
+      score(std::move(initial_score))
 {
 }
 
@@ -99,8 +100,10 @@
     if (!given) {
         return;
     }
-    const rating later{submitted_answer.request, std::clamp(*given, 0.0, 1.0)};
-    this->timers(this->clock() + this->delay, [this, later] { this->ratings.push_back(later); });
+    const rating delayed_rating{submitted_answer.request, std::clamp(*given, 0.0, 1.0)};
+    this->timers(this->clock() + this->delay, [this, delayed_rating] {
+        this->ratings.push_back(delayed_rating);
+    });
 }
 
 auto fake_ratings::page_after(std::uint64_t since) const -> rating_page
--- a/source/core/platform/fake_platform.hpp
+++ b/source/core/platform/fake_platform.hpp
@@ -12,7 +12,7 @@
 
 namespace reedramp::platform {
 
-/// The platform's list of hosts in memory, for tests and for the stand-in. One thread only.
+/// An in-memory list of hosts for tests and the stand-in. Not thread-safe.
 class fake_hosts {
 public:
     fake_hosts(common::clock_hook clock, common::timer_hook timers);
@@ -20,23 +20,23 @@
     fake_hosts(const fake_hosts&) = delete;
     auto operator=(const fake_hosts&) -> fake_hosts& = delete;
 
-    /// The hooks refer to this object, which has to outlive them and their timers.
+    /// The returned hooks refer to this object, which has to outlive them and their timers.
     auto hooks() -> host_hooks;
 
-    /// Adds or replaces the row of this host.
+    /// Adds or replaces the row of a host.
     auto put(host_entry entry) -> void;
     auto remove(const common::host_id& host) -> void;
 
-    /// How much later a change shows in the list.
+    /// Sets the delay until a change is visible in the list.
     auto set_lag(common::duration wanted) -> void { this->lag = wanted; }
 
     auto set_down(bool is_down) -> void { this->down = is_down; }
 
-    /// The list as a reader sees it now.
+    /// The rows that a reader sees now.
     [[nodiscard]] auto visible() const -> std::vector<host_entry>;
 
 private:
-    auto change_later(std::function<auto()->void> change) -> void;
+    auto apply_delayed(std::function<auto()->void> change) -> void;
 
     common::clock_hook clock;
     common::timer_hook timers;
@@ -45,17 +45,17 @@
     std::map<common::host_id, host_entry> entries;
 };
 
-/// One answer that was handed in for rating.
+/// An answer submitted for rating.
 struct rated_answer {
     common::request_id request;
     std::string question;
     std::string answer;
 };
 
-/// The rating service in memory, for tests and for the stand-in. One thread only.
+/// An in-memory rating service for tests and the stand-in. Not thread-safe.
 class fake_ratings {
 public:
-    /// The score of an answer, or nothing for an answer that never gets one.
+    /// Returns the score of an answer, or nullopt if it is never rated.
     using score_hook = std::function<auto(const rated_answer& submitted)->std::optional<double>>;
 
     fake_ratings(common::clock_hook clock, common::timer_hook timers, score_hook score);
@@ -63,10 +63,10 @@
     fake_ratings(const fake_ratings&) = delete;
     auto operator=(const fake_ratings&) -> fake_ratings& = delete;
 
-    /// The hooks refer to this object, which has to outlive them and their timers.
+    /// The returned hooks refer to this object, which has to outlive them and their timers.
     auto hooks() -> rating_hooks;
 
-    /// How long a rating takes.
+    /// Sets the time from the submission of an answer to its rating.
     auto set_delay(common::duration wanted) -> void { this->delay = wanted; }
 
     auto set_down(bool is_down) -> void { this->down = is_down; }
--- a/source/core/platform/fake_time.cpp
+++ b/source/core/platform/fake_time.cpp
@@ -21,8 +21,8 @@
 auto fake_time::at(common::time_point when, std::function<auto()->void> action) -> void
 {
     const auto due = std::max(when, this->current);
-    this->queue.emplace(order{due, this->asked}, std::move(action));
-    ++this->asked;
+    this->queue.emplace(order{due, this->next_sequence}, std::move(action));
+    ++this->next_sequence;
 }
 
 auto fake_time::run_until(common::time_point end) -> void
--- a/source/core/platform/hooks.hpp
+++ b/source/core/platform/hooks.hpp
@@ -11,11 +11,12 @@
 #include "common/result.hpp"
 #include "messages/peer.hpp"
 
-/// The platform's services as hooks: the append-only log, the list of hosts, the rating service and
-/// the weight store. `platform` implements them over HTTP; tests put small fakes in their place.
+/// Interfaces to the platform's services as hooks: the append-only log, the list of hosts, the
+/// rating service and the weight store. They are implemented over HTTP, and by in-memory fakes for
+/// tests.
 namespace reedramp::platform {
 
-/// Streams of the log that the system uses. Operators publish on `configuration`.
+/// The streams of the log that the system uses. Operators publish to `configuration`.
 namespace streams {
 inline constexpr auto configuration = "configuration";
 inline constexpr auto claims = "claims";
@@ -27,7 +28,7 @@
     std::vector<messages::log_record> records;
     /// Offset of the newest record of the stream; 0 for an empty stream.
     common::log_offset head;
-    /// Offset of the oldest record still held.
+    /// Offset of the oldest record that has not been trimmed.
     common::log_offset oldest;
 };
 
@@ -36,10 +37,11 @@
 
 /// The append-only log.
 ///
-/// `append` errors: `log_unavailable` (`not_run`: nothing was sent, or the log said no) or
-/// `append_unknown` (`unknown`: the record may be there; read on to find out, never append again
-/// blindly). `read` gives records after `after`, waits up to `wait` when there are none, and errors
-/// with `log_unavailable` or `log_trimmed` (records right after `after` are gone).
+/// Errors of `append`: `log_unavailable` (`not_run`: nothing was sent, or the log refused the
+/// record), or `append_unknown` (`unknown`: the record may have been appended; the caller has to
+/// read the log to find out and must not simply append again). `read` returns the records after
+/// `after`; if there are none, it waits for new ones up to `wait`. Errors of `read`:
+/// `log_unavailable`, or `log_trimmed` if the records right after `after` have been trimmed.
 struct log_hooks {
     std::function<
         auto(std::string stream, std::string data, answer_hook<common::log_offset> done)->void>
@@ -56,7 +58,7 @@
 enum class host_role : std::uint8_t { entry, server };
 enum class host_state : std::uint8_t { live, leaving };
 
-/// One row of the platform's list of hosts. The list lags.
+/// A row of the platform's list of hosts. The list lags behind the actual state.
 struct host_entry {
     common::host_id host;
     common::data_centre_id data_centre;
@@ -65,7 +67,8 @@
     host_state state = host_state::live;
     /// "IP:port" of the RPC listener of the process on this host.
     std::string rpc;
-    /// "IP:port" of its HTTP listener (callers' API on an entry, metrics and health on an agent).
+    /// "IP:port" of the process's HTTP listener: the callers' API of an entry, metrics and health
+    /// of an agent.
     std::string http;
 };
 
@@ -73,7 +76,7 @@
     std::function<auto(answer_hook<std::vector<host_entry>> done)->void> list;
 };
 
-/// A rating of one answer, 0.0 (useless) to 1.0 (perfect). Ratings come late, or never.
+/// A rating of an answer, from 0.0 (useless) to 1.0 (perfect). Ratings may arrive late or never.
 struct rating {
     common::request_id request;
     double score = 0.0;
@@ -81,15 +84,15 @@
 
 struct rating_page {
     std::vector<rating> ratings;
-    /// Pass this to the next call.
+    /// The value of `since` for the next call.
     std::uint64_t next = 0;
 };
 
 struct rating_hooks {
-    /// Asks the rating service to rate an answer some time.
+    /// Submits an answer for rating. The rating, if any, is returned by a later `fetch`.
     std::function<auto(common::request_id request, std::string question, std::string answer)->void>
         submit;
-    /// Ratings made since `since`.
+    /// Fetches the ratings made since `since`.
     std::function<auto(std::uint64_t since, answer_hook<rating_page> done)->void> fetch;
 };
 
--- a/source/core/platform/http_hosts.cpp
+++ b/source/core/platform/http_hosts.cpp
@@ -57,7 +57,7 @@
     return entry;
 }
 
-auto to_hosts(const common::result<http::response>& answer)
+auto parse_hosts_answer(const common::result<http::response>& answer)
     -> common::result<std::vector<host_entry>>
 {
     if (!answer) {
@@ -80,14 +80,14 @@
 {
     host_hooks made;
     made.list = [client, where](answer_hook<std::vector<host_entry>> done) {
-        http::request asked;
-        asked.method = "GET";
-        asked.target = "/hosts";
+        http::request request;
+        request.method = "GET";
+        request.target = "/hosts";
         http::call_events events;
         events.on_done = [done = std::move(done)](const common::result<http::response>& answer) {
-            done(to_hosts(answer));
+            done(parse_hosts_answer(answer));
         };
-        client->send(where, std::move(asked), std::move(events));
+        client->send(where, std::move(request), std::move(events));
     };
     return made;
 }
--- a/source/core/platform/http_log.cpp
+++ b/source/core/platform/http_log.cpp
@@ -19,9 +19,9 @@
 constexpr std::uint16_t status_server_errors = 500;
 constexpr std::uint16_t status_unavailable = 503;
 
-/// The log has said itself that it did not take the record. Other 5xx may come from something
-/// between us and the log, after the record got there.
-auto is_refusal(std::uint16_t status) -> bool
+/// Whether the status proves that the log did not append the record. Other 5xx statuses may come
+/// from an intermediary after the record has reached the log.
+auto was_rejected(std::uint16_t status) -> bool
 {
     const auto is_client_error = status >= status_client_errors && status < status_server_errors;
     return is_client_error || status == status_unavailable;
@@ -32,7 +32,8 @@
     return "status=" + std::to_string(status);
 }
 
-auto to_offset(const common::result<http::response>& answer) -> common::result<common::log_offset>
+auto parse_append_answer(const common::result<http::response>& answer)
+    -> common::result<common::log_offset>
 {
     if (!answer) {
         const auto was_sent = answer.error().run != execution::not_run;
@@ -40,8 +41,8 @@
         return failure(code, answer.error().detail);
     }
     if (answer->status != status_ok) {
-        const auto code =
-            is_refusal(answer->status) ? result_code::log_unavailable : result_code::append_unknown;
+        const auto code = was_rejected(answer->status) ? result_code::log_unavailable
+                                                       : result_code::append_unknown;
         return failure(code, describe(answer->status));
     }
     const auto body = parse_object(answer->body);
@@ -52,7 +53,8 @@
     return common::log_offset{*offset};
 }
 
-auto to_records(const boost::json::array& rows) -> std::optional<std::vector<messages::log_record>>
+auto parse_records(const boost::json::array& rows)
+    -> std::optional<std::vector<messages::log_record>>
 {
     std::vector<messages::log_record> records;
     records.reserve(rows.size());
@@ -71,7 +73,7 @@
     return records;
 }
 
-auto to_read_answer(const common::result<http::response>& answer) -> common::result<read_answer>
+auto parse_read_answer(const common::result<http::response>& answer) -> common::result<read_answer>
 {
     if (!answer) {
         return failure(result_code::log_unavailable, answer.error().detail);
@@ -89,9 +91,9 @@
     const auto* rows = array_field(*body, "records");
     const auto head = count_field(*body, "head");
     const auto oldest = count_field(*body, "oldest");
-    auto records = rows == nullptr ? std::nullopt : to_records(*rows);
+    auto records = rows == nullptr ? std::nullopt : parse_records(*rows);
     if (!records || !head || !oldest) {
-        return failure(result_code::log_unavailable, "the answer lacks a field");
+        return failure(result_code::log_unavailable, "the answer has a missing or invalid field");
     }
     return read_answer{std::move(*records), common::log_offset{*head}, common::log_offset{*oldest}};
 }
@@ -103,32 +105,32 @@
     log_hooks made;
     made.append = [client, options](
                       std::string stream, std::string data, answer_hook<common::log_offset> done) {
-        http::request asked;
-        asked.method = "POST";
-        asked.target = "/log/" + stream + "/append";
-        asked.body = std::move(data);
+        http::request request;
+        request.method = "POST";
+        request.target = "/log/" + stream + "/append";
+        request.body = std::move(data);
         http::call_events events;
         events.on_done = [done = std::move(done)](const common::result<http::response>& answer) {
-            done(to_offset(answer));
+            done(parse_append_answer(answer));
         };
-        client->send(options.where, std::move(asked), std::move(events));
+        client->send(options.where, std::move(request), std::move(events));
     };
     made.read = [client, options](
                     std::string stream,
                     common::log_offset after,
                     std::chrono::milliseconds wait,
                     answer_hook<read_answer> done) {
-        const auto bounded = std::min(wait, options.longest_wait / 2);
-        http::request asked;
-        asked.method = "GET";
-        asked.target = "/log/" + stream + "/read?after=" + std::to_string(after.value()) +
-                       "&wait_ms=" + std::to_string(bounded.count()) +
-                       "&limit=" + std::to_string(options.read_limit);
+        const auto poll_wait = std::min(wait, options.client_idle_timeout / 2);
+        http::request request;
+        request.method = "GET";
+        request.target = "/log/" + stream + "/read?after=" + std::to_string(after.value()) +
+                         "&wait_ms=" + std::to_string(poll_wait.count()) +
+                         "&limit=" + std::to_string(options.read_limit);
         http::call_events events;
         events.on_done = [done = std::move(done)](const common::result<http::response>& answer) {
-            done(to_read_answer(answer));
+            done(parse_read_answer(answer));
         };
-        client->send(options.where, std::move(asked), std::move(events));
+        client->send(options.where, std::move(request), std::move(events));
     };
     return made;
 }
--- a/source/core/platform/http_ratings.cpp
+++ b/source/core/platform/http_ratings.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::uint16_t status_ok = 200;
 
-/// Rows with a request id that cannot be read are left out; they are of no use to anybody.
-auto to_ratings(const boost::json::array& rows) -> std::vector<rating>
+/// Rows without a valid request id or score are skipped, because they cannot be used.
+auto parse_ratings(const boost::json::array& rows) -> std::vector<rating>
 {
     std::vector<rating> ratings;
     ratings.reserve(rows.size());
@@ -33,7 +33,7 @@
     return ratings;
 }
 
-auto to_page(const common::result<http::response>& answer) -> common::result<rating_page>
+auto parse_rating_page(const common::result<http::response>& answer) -> common::result<rating_page>
 {
     if (!answer) {
         return failure(result_code::platform_unavailable, answer.error().detail);
@@ -45,7 +45,7 @@
         return failure(
             result_code::platform_unavailable, "status=" + std::to_string(answer->status));
     }
-    return rating_page{to_ratings(*rows), *next};
+    return rating_page{parse_ratings(*rows), *next};
 }
 
 } // namespace
@@ -53,31 +53,30 @@
 auto make_http_ratings(std::shared_ptr<http::client> client, http::endpoint where) -> rating_hooks
 {
     rating_hooks made;
-    made.submit = [client,
-                   where](common::request_id request, std::string question, std::string answer) {
+    made.submit = [client, where](common::request_id id, std::string question, std::string answer) {
         const boost::json::object body{
-            {"request", common::to_string(request)},
+            {"request", common::to_string(id)},
             {"question", question},
             {"answer", answer},
         };
-        http::request asked;
-        asked.method = "POST";
-        asked.target = "/ratings/submit";
-        asked.body = boost::json::serialize(body);
+        http::request request;
+        request.method = "POST";
+        request.target = "/ratings/submit";
+        request.body = boost::json::serialize(body);
         http::call_events events;
         events.on_done = [](const auto&) {
         };
-        client->send(where, std::move(asked), std::move(events));
+        client->send(where, std::move(request), std::move(events));
     };
     made.fetch = [client, where](std::uint64_t since, answer_hook<rating_page> done) {
-        http::request asked;
-        asked.method = "GET";
-        asked.target = "/ratings?since=" + std::to_string(since);
+        http::request request;
+        request.method = "GET";
+        request.target = "/ratings?since=" + std::to_string(since);
         http::call_events events;
         events.on_done = [done = std::move(done)](const common::result<http::response>& answer) {
-            done(to_page(answer));
+            done(parse_rating_page(answer));
         };
-        client->send(where, std::move(asked), std::move(events));
+        client->send(where, std::move(request), std::move(events));
     };
     return made;
 }
--- a/source/core/platform/http_ratings.hpp
+++ b/source/core/platform/http_ratings.hpp
@@ -8,10 +8,10 @@
 
 namespace reedramp::platform {
 
-/// The rating service over HTTP: `POST /ratings/submit` and `GET /ratings?since=K`.
+/// Hooks for the rating service over HTTP: `POST /ratings/submit` and `GET /ratings?since=K`.
 ///
-/// A submission that is lost is not sent again: ratings are a sample, and a missing one only makes
-/// an estimate wider. `fetch` errors with `platform_unavailable`.
+/// A lost submission is not retried: ratings are a sample, and a missing one only makes an estimate
+/// less precise. Error of `fetch`: `platform_unavailable`.
 auto make_http_ratings(std::shared_ptr<http::client> client, http::endpoint where) -> rating_hooks;
 
 } // namespace reedramp::platform
--- a/source/core/platform/http_weights.cpp
+++ b/source/core/platform/http_weights.cpp
@@ -27,7 +27,8 @@
     return parsed.ec == std::errc{} ? std::chrono::seconds(seconds) : default_retry;
 }
 
-auto to_weights(const common::result<http::response>& answer) -> common::result<weight_answer>
+auto parse_weight_answer(const common::result<http::response>& answer)
+    -> common::result<weight_answer>
 {
     if (!answer) {
         return failure(result_code::platform_unavailable, answer.error().detail);
@@ -52,15 +53,15 @@
                      std::uint64_t bytes,
                      answer_hook<weight_answer> done) {
         const boost::json::object body{{"version", version.value()}, {"bytes", bytes}};
-        http::request asked;
-        asked.method = "POST";
-        asked.target = "/weights/fetch";
-        asked.body = boost::json::serialize(body);
+        http::request request;
+        request.method = "POST";
+        request.target = "/weights/fetch";
+        request.body = boost::json::serialize(body);
         http::call_events events;
         events.on_done = [done = std::move(done)](const common::result<http::response>& answer) {
-            done(to_weights(answer));
+            done(parse_weight_answer(answer));
         };
-        client->send(where, std::move(asked), std::move(events));
+        client->send(where, std::move(request), std::move(events));
     };
     return made;
 }
--- a/source/core/platform/http_weights.hpp
+++ b/source/core/platform/http_weights.hpp
@@ -12,22 +12,22 @@
 
 namespace reedramp::platform {
 
-/// What the weight store says to a fetch: done, or come back later.
+/// The weight store's answer to a fetch: completed, or to be retried later.
 struct weight_answer {
     bool fetched = false;
-    /// Set when the store is at its rate limit.
+    /// Set if the store is at its rate limit.
     std::chrono::seconds retry_after{0};
 };
 
 struct weight_hooks {
-    /// Fetches a version's weights; the answer comes when the transfer has ended.
+    /// Fetches a version's weights; the answer is delivered when the transfer has completed.
     std::function<
         auto(common::version_id version, std::uint64_t bytes, answer_hook<weight_answer> done)
             ->void>
         fetch;
 };
 
-/// The weight store over HTTP: `POST /weights/fetch`. Errors with `platform_unavailable`.
+/// Hooks for the weight store over HTTP: `POST /weights/fetch`. Error: `platform_unavailable`.
 auto make_http_weights(std::shared_ptr<http::client> client, http::endpoint where) -> weight_hooks;
 
 } // namespace reedramp::platform
--- a/source/core/platform/json_fields.hpp
+++ b/source/core/platform/json_fields.hpp
@@ -7,11 +7,11 @@
 
 #include <boost/json.hpp>
 
-/// Reading of JSON objects field by field. A field that is missing or of another type gives
-/// nothing, so that one check serves both. Include it in .cpp files only: Boost.JSON is heavy.
+/// Typed access to the fields of JSON objects. The result is empty for a field that is missing or
+/// of another type. To be included in .cpp files only, because Boost.JSON slows down compilation.
 namespace reedramp::platform {
 
-/// The object in `text`, or nothing if `text` is not JSON or not an object.
+/// Parses a JSON object; nullopt if `text` is not valid JSON or not an object.
 inline auto parse_object(std::string_view text) -> std::optional<boost::json::object>
 {
     boost::system::error_code failed;
@@ -33,7 +33,8 @@
     return std::string(text.data(), text.size());
 }
 
-/// A number that is not negative; JSON writers differ on whether 3 is signed, so both are taken.
+/// A non-negative integer. Signed and unsigned JSON numbers are both accepted, because writers
+/// differ in how they represent a number such as 3.
 inline auto count_field(const boost::json::object& from, std::string_view name)
     -> std::optional<std::uint64_t>
 {
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -102,7 +102,7 @@
     options.idle_timeout = this->settings.log_timeout;
     platform::http_log_options where;
     where.where = this->settings.log;
-    where.longest_wait = this->settings.log_timeout;
+    where.client_idle_timeout = this->settings.log_timeout;
     this->log =
         platform::make_http_log(http::client::create(this->threads.next_context(), options), where);
     this->ratings = platform::make_http_ratings(
--- a/source/unit_tests/platform/fake_log_test.cpp
+++ b/source/unit_tests/platform/fake_log_test.cpp
@@ -47,15 +47,15 @@
     std::string name;
     platform::log_faults faults;
     std::vector<result_code> codes;
-    std::vector<std::string> kept;
+    std::vector<std::string> records;
 };
 
 } // namespace
 
-TEST_CASE("Appends meet the faults of the log")
+TEST_CASE("Appends to the fake log show its faults")
 {
-    // The caller sees `append_unknown` both when the record is there and when it is not; only a
-    // read tells them apart. `log_unavailable` promises that the record is not there.
+    // `append_unknown` is answered both if the record was appended and if it was not; only a read
+    // shows which. `log_unavailable` guarantees that the record was not appended.
     constexpr auto ok = result_code::ok;
     constexpr auto unknown = result_code::append_unknown;
     constexpr auto unavailable = result_code::log_unavailable;
@@ -68,103 +68,104 @@
     const std::vector<append_case> table{
         {"healthy", {}, {ok, ok, ok}, {"a", "b", "c"}},
         {"down", down, {unavailable, unavailable, unavailable}, {}},
-        {"answer lost after the effect", lost_answer, {ok, unknown, ok}, {"a", "b", "c"}},
+        {"answer lost after the append", lost_answer, {ok, unknown, ok}, {"a", "b", "c"}},
         {"append lost", lost_append, {ok, unknown, ok}, {"a", "c"}},
     };
     for (const auto& row : table) {
         INFO(row.name);
-        fixture given;
-        given.log.set_faults(row.faults);
+        fixture environment;
+        environment.log.set_faults(row.faults);
         const std::vector<result_code> codes{
-            given.append("a"), given.append("b"), given.append("c")};
+            environment.append("a"), environment.append("b"), environment.append("c")};
         CHECK(codes == row.codes);
-        std::vector<std::string> kept;
-        for (const auto& record : given.log.records(stream)) {
-            kept.push_back(record.data);
+        std::vector<std::string> records;
+        for (const auto& record : environment.log.records(stream)) {
+            records.push_back(record.data);
         }
-        CHECK(kept == row.kept);
+        CHECK(records == row.records);
     }
 }
 
-TEST_CASE("Appends over the rate are refused until the second is over")
+TEST_CASE("Appends above the rate limit fail until the second has passed")
 {
-    fixture given;
+    fixture environment;
     platform::log_faults limited;
     limited.appends_per_second = 2;
-    given.log.set_faults(limited);
+    environment.log.set_faults(limited);
     std::vector<result_code> codes;
     const auto append = [&] {
-        given.hooks.append(stream, "x", [&codes](const auto& answer) {
+        environment.hooks.append(stream, "x", [&codes](const auto& answer) {
             codes.push_back(answer ? result_code::ok : answer.error().code);
         });
     };
     append();
     append();
     append();
-    given.time.run_for(1s);
+    environment.time.run_for(1s);
     append();
-    given.time.run_due();
+    environment.time.run_due();
     const std::vector<result_code> expected{
         result_code::ok, result_code::ok, result_code::log_unavailable, result_code::ok};
     CHECK(codes == expected);
 }
 
-TEST_CASE("A slow log has the effect at once and answers late")
+TEST_CASE("A slow log appends immediately and answers late")
 {
-    fixture given;
+    fixture environment;
     platform::log_faults slow;
     slow.slow = 5s;
-    given.log.set_faults(slow);
+    environment.log.set_faults(slow);
     bool is_answered = false;
-    given.hooks.append(stream, "x", [&is_answered](const auto&) { is_answered = true; });
-    CHECK(given.log.head(stream) == log_offset{1});
-    given.time.run_for(4999ms);
+    environment.hooks.append(stream, "x", [&is_answered](const auto&) { is_answered = true; });
+    CHECK(environment.log.head(stream) == log_offset{1});
+    environment.time.run_for(4999ms);
     CHECK_FALSE(is_answered);
-    given.time.run_for(1ms);
+    environment.time.run_for(1ms);
     CHECK(is_answered);
 }
 
-TEST_CASE("A read behind the trimmed prefix says so")
+TEST_CASE("A read of trimmed records fails with log_trimmed")
 {
-    fixture given;
+    fixture environment;
     for (const auto* data : {"a", "b", "c", "d"}) {
-        given.log.put(stream, data);
+        environment.log.put(stream, data);
     }
-    given.log.trim(stream, log_offset{3});
-    REQUIRE_FALSE(given.read(1));
-    CHECK(given.read(1).error().code == result_code::log_trimmed);
-    const auto answer = given.read(2);
+    environment.log.trim(stream, log_offset{3});
+    REQUIRE_FALSE(environment.read(1));
+    CHECK(environment.read(1).error().code == result_code::log_trimmed);
+    const auto answer = environment.read(2);
     REQUIRE(answer);
     CHECK(answer->oldest == log_offset{3});
     CHECK(answer->head == log_offset{4});
     CHECK(answer->records.size() == 2);
-    given.log.keep(1);
-    CHECK(given.log.oldest(stream) == log_offset{4});
+    environment.log.keep(1);
+    CHECK(environment.log.oldest(stream) == log_offset{4});
 }
 
-TEST_CASE("A long poll ends with a record, with its time, or with the log")
+TEST_CASE("A long poll ends with a new record, by its timeout, or when the log goes down")
 {
-    fixture given;
-    std::vector<std::string> seen;
+    fixture environment;
+    std::vector<std::string> answers;
     const auto poll = [&] {
-        given.hooks.read(stream, given.log.head(stream), 10s, [&seen](const auto& answer) {
-            const auto count = answer ? std::to_string(answer->records.size()) : "down";
-            seen.push_back(count);
-        });
+        environment.hooks.read(
+            stream, environment.log.head(stream), 10s, [&answers](const auto& answer) {
+                const auto count = answer ? std::to_string(answer->records.size()) : "down";
+                answers.push_back(count);
+            });
     };
     poll();
-    given.time.run_for(9s);
-    CHECK(seen.empty());
-    given.log.put(stream, "x");
-    given.time.run_due();
-    CHECK(seen == std::vector<std::string>{"1"});
+    environment.time.run_for(9s);
+    CHECK(answers.empty());
+    environment.log.put(stream, "x");
+    environment.time.run_due();
+    CHECK(answers == std::vector<std::string>{"1"});
     poll();
-    given.time.run_for(10s);
-    CHECK(seen == std::vector<std::string>{"1", "0"});
+    environment.time.run_for(10s);
+    CHECK(answers == std::vector<std::string>{"1", "0"});
     poll();
     platform::log_faults down;
     down.down = true;
-    given.log.set_faults(down);
-    given.time.run_due();
-    CHECK(seen == std::vector<std::string>{"1", "0", "down"});
+    environment.log.set_faults(down);
+    environment.time.run_due();
+    CHECK(answers == std::vector<std::string>{"1", "0", "down"});
 }
--- a/source/unit_tests/platform/fake_platform_test.cpp
+++ b/source/unit_tests/platform/fake_platform_test.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 using namespace reedramp;
 
-TEST_CASE("Timers run in order of time, then of asking, also those that a timer asks for")
+TEST_CASE("Timers run in order of time and then of addition, also if added by a timer")
 {
     platform::fake_time time;
     std::vector<int> order;
@@ -25,9 +25,9 @@
     CHECK(time.now() == start + 2s);
 }
 
-TEST_CASE("The list of hosts shows a change after its lag")
+TEST_CASE("The list of hosts shows a change after the lag")
 {
-    // A host that has left is still listed for a while, as with the platform's list.
+    // As in the platform's list, a removed host stays listed for a while.
     platform::fake_time time;
     platform::fake_hosts hosts(time.clock(), time.timers());
     platform::host_entry entry;
@@ -41,7 +41,7 @@
     CHECK(hosts.visible().empty());
 }
 
-TEST_CASE("Ratings come late, some never, and pages go on where the last one ended")
+TEST_CASE("Ratings are delayed or missing, and pages continue where the previous one ended")
 {
     platform::fake_time time;
     platform::fake_ratings ratings(
@@ -67,7 +67,7 @@
     CHECK(ratings.submitted_count() == 3);
 }
 
-TEST_CASE("A host's row survives its JSON form, and a bad row is refused")
+TEST_CASE("A host's row is parsed as it was formatted, and an invalid row is rejected")
 {
     platform::host_entry entry;
     entry.host = common::host_id{"h1"};
--- a/source/unit_tests/platform/http_log_test.cpp
+++ b/source/unit_tests/platform/http_log_test.cpp
@@ -17,7 +17,7 @@
 constexpr auto stream = "configuration";
 
 struct log_fixture : stand_in_fixture {
-    explicit log_fixture(std::chrono::milliseconds idle_timeout = longest_wait)
+    explicit log_fixture(std::chrono::milliseconds idle_timeout = max_wait)
         : stand_in_fixture(R"({"threads":1,"log":{}})", idle_timeout),
           hooks(platform::make_http_log(this->client, {this->where("log"), idle_timeout, 100}))
     {
@@ -36,7 +36,7 @@
             [&](auto done) { this->hooks.read(stream, log_offset{after}, 0ms, std::move(done)); });
     }
 
-    auto kept() -> std::vector<std::string>
+    auto records() -> std::vector<std::string>
     {
         std::vector<std::string> data;
         const auto answer = this->read(0);
@@ -54,16 +54,15 @@
     std::string name;
     std::string faults;
     std::vector<result_code> codes;
-    std::vector<std::string> kept;
+    std::vector<std::string> records;
 };
 
 } // namespace
 
-TEST_CASE("Appends over HTTP tell a refusal from an answer that was lost")
+TEST_CASE("Appends over HTTP distinguish a refusal from a lost answer")
 {
-    // The connection closes after the record was taken, or before: both times the caller sees a
-    // connection that ends without an answer, so it may only say `append_unknown`.
-    // `log_unavailable` comes when the log itself has said no.
+    // If the connection closes without an answer, the record may have been appended or not, so the
+    // result has to be `append_unknown`. `log_unavailable` is only valid if the log has refused.
     constexpr auto ok = result_code::ok;
     constexpr auto unknown = result_code::append_unknown;
     constexpr auto unavailable = result_code::log_unavailable;
@@ -77,75 +76,74 @@
     };
     for (const auto& row : table) {
         INFO(row.name);
-        log_fixture given;
-        given.set_faults("log", row.faults);
-        const std::vector<result_code> codes{
-            given.append("a"), given.append("b"), given.append("c")};
+        log_fixture log;
+        log.set_faults("log", row.faults);
+        const std::vector<result_code> codes{log.append("a"), log.append("b"), log.append("c")};
         CHECK(codes == row.codes);
-        given.set_faults("log", R"({"down":false,"error_rate_permille":0})");
-        CHECK(given.kept() == row.kept);
+        log.set_faults("log", R"({"down":false,"error_rate_permille":0})");
+        CHECK(log.records() == row.records);
     }
 }
 
-TEST_CASE("An append to a log that answers too late is unknown, and the record is there")
+TEST_CASE("An append that is answered after the client's timeout has an unknown outcome")
 {
-    // The log takes the record at once but answers after the client's patience. The client must
-    // not call that a refusal: a second append would double the record.
-    log_fixture given(200ms);
-    given.set_faults("log", R"({"slow_ms":60000})");
-    CHECK(given.append("a") == result_code::append_unknown);
-    given.set_faults("log", R"({"slow_ms":0})");
-    CHECK(given.kept() == std::vector<std::string>{"a"});
+    // The log appends the record immediately but answers after the client's timeout. If the client
+    // reported a refusal, a second append would duplicate the record.
+    log_fixture log(200ms);
+    log.set_faults("log", R"({"slow_ms":60000})");
+    CHECK(log.append("a") == result_code::append_unknown);
+    log.set_faults("log", R"({"slow_ms":0})");
+    CHECK(log.records() == std::vector<std::string>{"a"});
 }
 
-TEST_CASE("An append to nobody was not run")
+TEST_CASE("An append to a log that does not listen fails with log_unavailable")
 {
-    log_fixture given;
-    given.started.value().reset();
-    CHECK(given.append("a") == result_code::log_unavailable);
-    CHECK(given.read(0).error().code == result_code::log_unavailable);
+    log_fixture log;
+    log.started.value().reset();
+    CHECK(log.append("a") == result_code::log_unavailable);
+    CHECK(log.read(0).error().code == result_code::log_unavailable);
 }
 
-TEST_CASE("Appends over the rate are refused, and what is refused is not there")
+TEST_CASE("Appends above the rate limit are refused and not appended")
 {
-    log_fixture given;
-    given.set_faults("log", R"({"appends_per_second":2})");
-    std::size_t taken = 0;
+    log_fixture log;
+    log.set_faults("log", R"({"appends_per_second":2})");
+    std::size_t appended = 0;
     auto code = result_code::ok;
-    constexpr std::size_t most_tries = 1000;
-    while (code == result_code::ok && taken < most_tries) {
-        code = given.append("x");
-        taken += code == result_code::ok ? 1 : 0;
+    constexpr std::size_t max_attempts = 1000;
+    while (code == result_code::ok && appended < max_attempts) {
+        code = log.append("x");
+        appended += code == result_code::ok ? 1 : 0;
     }
     CHECK(code == result_code::log_unavailable);
-    CHECK(given.kept().size() == taken);
+    CHECK(log.records().size() == appended);
 }
 
-TEST_CASE("A read over HTTP of a trimmed prefix says so, and the rest can be read")
+TEST_CASE("A read over HTTP of trimmed records fails, and the remaining records can be read")
 {
-    log_fixture given;
+    log_fixture log;
     for (const auto* data : {"a", "b", R"({"quoted":"\n"})"}) {
-        REQUIRE(given.append(data) == result_code::ok);
+        REQUIRE(log.append(data) == result_code::ok);
     }
-    given.set_faults("log", R"({"kept_records":1})");
-    REQUIRE_FALSE(given.read(0));
-    CHECK(given.read(0).error().code == result_code::log_trimmed);
-    const auto rest = given.read(2);
+    log.set_faults("log", R"({"kept_records":1})");
+    REQUIRE_FALSE(log.read(0));
+    CHECK(log.read(0).error().code == result_code::log_trimmed);
+    const auto rest = log.read(2);
     REQUIRE(rest);
     CHECK(rest->oldest == log_offset{3});
     CHECK(rest->head == log_offset{3});
     CHECK(rest->records.at(0).data == R"({"quoted":"\n"})");
 }
 
-TEST_CASE("A long poll over HTTP ends with the record it waits for")
+TEST_CASE("A long poll over HTTP returns the record that it waits for")
 {
-    log_fixture given;
+    log_fixture log;
     const auto promise = std::make_shared<std::promise<common::result<platform::read_answer>>>();
     auto future = promise->get_future();
-    given.hooks.read(
+    log.hooks.read(
         stream, log_offset{0}, 20s, [promise](const auto& answer) { promise->set_value(answer); });
-    REQUIRE(given.append("a") == result_code::ok);
-    REQUIRE(future.wait_for(stand_in_fixture::longest_wait) == std::future_status::ready);
+    REQUIRE(log.append("a") == result_code::ok);
+    REQUIRE(future.wait_for(stand_in_fixture::max_wait) == std::future_status::ready);
     const auto answer = future.get();
     REQUIRE(answer);
     CHECK(answer->records.at(0).data == "a");
--- a/source/unit_tests/platform/stand_in_engine_test.cpp
+++ b/source/unit_tests/platform/stand_in_engine_test.cpp
@@ -25,23 +25,23 @@
            R"("}]})";
 }
 
-/// The text of a streamed answer.
+/// The concatenated text of a streamed answer.
 auto text_of_stream(const std::string& events) -> std::string
 {
     constexpr std::string_view marker = R"("content":")";
     std::string text;
-    auto at = events.find(marker);
-    while (at != std::string::npos) {
-        const auto begin = at + marker.size();
+    auto position = events.find(marker);
+    while (position != std::string::npos) {
+        const auto begin = position + marker.size();
         text += events.substr(begin, events.find('"', begin) - begin);
-        at = events.find(marker, begin);
+        position = events.find(marker, begin);
     }
     return text;
 }
 
 } // namespace
 
-TEST_CASE("An answer's text shows whether it is whole")
+TEST_CASE("An answer's text shows whether it is complete")
 {
     struct answer_case {
         std::string text;
@@ -76,7 +76,7 @@
     }
 }
 
-TEST_CASE("The engine runs as many jobs as it has slots, the important ones first")
+TEST_CASE("The engine runs as many jobs as it has slots, by priority")
 {
     platform::fake_time time;
     engine_model model({1, 2, 1000, 10'000});
@@ -84,7 +84,7 @@
     CHECK(model.submit({2, 0, 0, 1, false, {}}, time.now()));
     CHECK(model.submit({3, 5, 0, 1, false, {}}, time.now()));
     CHECK_FALSE(model.submit({4, 9, 0, 1, false, {}}, time.now()));
-    // 10 ms prefill and two more tokens of 10 ms, then two jobs of one token.
+    // 10 ms of prefill and two further tokens of 10 ms each, then two jobs of one token each.
     CHECK(model.estimated_wait(time.now()) == 50ms);
     CHECK(model.next_due() == time.now() + 30ms);
     time.run_for(30ms);
@@ -98,20 +98,20 @@
     CHECK_FALSE(model.next_due());
 }
 
-TEST_CASE("A streamed job tells its tokens as they are made")
+TEST_CASE("A streamed job reports its tokens as they are generated")
 {
     platform::fake_time time;
     engine_model model({1, 0, 0, 10'000});
     model.submit({1, 0, 0, 4, true, {}}, time.now());
-    std::vector<std::uint64_t> told;
+    std::vector<std::uint64_t> reported;
     while (const auto due = model.next_due()) {
         time.run_until(*due);
-        told.push_back(model.advance(time.now()).at(0).tokens);
+        reported.push_back(model.advance(time.now()).at(0).tokens);
     }
-    CHECK(told == std::vector<std::uint64_t>{1, 2, 3, 4});
+    CHECK(reported == std::vector<std::uint64_t>{1, 2, 3, 4});
 }
 
-TEST_CASE("The prefix cache holds the last used prefixes")
+TEST_CASE("The prefix cache holds the most recently used prefixes")
 {
     standin::prefix_cache cache(2);
     CHECK_FALSE(cache.use(1));
@@ -122,26 +122,25 @@
     CHECK_FALSE(cache.use(2));
 }
 
-TEST_CASE("A stream goes on where an earlier one was cut, and both make the whole answer")
+TEST_CASE("A resumed stream and the interrupted one give the complete answer")
 {
-    // The caller's first stream is cut after four tokens. The same request with
-    // `resume_after_tokens`, or with the text so far as a message of the assistant, brings the
-    // rest.
-    stand_in_fixture given(R"({"threads":1,"engines":[{"name":"e1","versions":["v1"]}]})");
-    const auto whole = given.call("e1", "POST", chat_path, chat_body(R"("stream":true,)"));
+    // The first stream is interrupted after four tokens. The same request with
+    // `resume_after_tokens`, or with the text so far as an assistant message, returns the rest.
+    stand_in_fixture stand_in(R"({"threads":1,"engines":[{"name":"e1","versions":["v1"]}]})");
+    const auto whole = stand_in.call("e1", "POST", chat_path, chat_body(R"("stream":true,)"));
     REQUIRE(whole);
     const auto full_text = text_of_stream(whole->body);
     CHECK(standin::read_answer(full_text)->tokens == 6);
     CHECK(whole->body.ends_with("data: [DONE]\n\n"));
     const auto begin = full_text.substr(0, full_text.find(" t4"));
-    given.set_faults("e1", R"({"cut_after_tokens":4})");
-    CHECK_FALSE(given.call("e1", "POST", chat_path, chat_body(R"("stream":true,)")));
-    given.set_faults("e1", R"({"cut_after_tokens":0})");
-    const auto resumed =
-        given.call("e1", "POST", chat_path, chat_body(R"("stream":true,"resume_after_tokens":4,)"));
+    stand_in.set_faults("e1", R"({"cut_after_tokens":4})");
+    CHECK_FALSE(stand_in.call("e1", "POST", chat_path, chat_body(R"("stream":true,)")));
+    stand_in.set_faults("e1", R"({"cut_after_tokens":0})");
+    const auto resumed = stand_in.call(
+        "e1", "POST", chat_path, chat_body(R"("stream":true,"resume_after_tokens":4,)"));
     REQUIRE(resumed);
     CHECK(begin + text_of_stream(resumed->body) == full_text);
-    const auto continued = given.call(
+    const auto continued = stand_in.call(
         "e1",
         "POST",
         chat_path,
@@ -152,7 +151,7 @@
     CHECK(begin + text_of_stream(continued->body) == full_text);
 }
 
-TEST_CASE("What the engine refuses, it refuses with a clear status")
+TEST_CASE("The engine answers invalid requests and orders with the matching status")
 {
     struct refusal_case {
         std::string path;
@@ -172,72 +171,73 @@
         {"/nowhere", "", 404},
         {"/faults", R"({"unheard_of":1})", 400},
     };
-    stand_in_fixture given(R"({"threads":1,"engines":[{"name":"e1","versions":["v1"]}]})");
+    stand_in_fixture stand_in(R"({"threads":1,"engines":[{"name":"e1","versions":["v1"]}]})");
     for (const auto& row : table) {
         INFO(row.path << " " << row.body);
-        const auto answer = given.call("e1", "POST", row.path, row.body);
+        const auto answer = stand_in.call("e1", "POST", row.path, row.body);
         REQUIRE(answer);
         CHECK(answer->status == row.status);
     }
-    const auto load = given.call("e1", "GET", "/load", "");
+    const auto load = stand_in.call("e1", "GET", "/load", "");
     CHECK(load->body.find(R"("versions":["v1","v2"])") != std::string::npos);
 }
 
-TEST_CASE("An engine that does not check fencing numbers obeys an old one")
+TEST_CASE("An engine that does not check fencing numbers executes an outdated order")
 {
-    stand_in_fixture given(R"({"threads":1,"engines":[
+    stand_in_fixture stand_in(R"({"threads":1,"engines":[
         {"name":"e1","versions":["v1"],"checks_fencing":false}]})");
     const auto order = [&](const std::string& text) {
-        return given.call("e1", "POST", "/orders", text)->status;
+        return stand_in.call("e1", "POST", "/orders", text)->status;
     };
     CHECK(order(R"({"action":"load","version":"v2","fencing":7})") == 200);
     CHECK(order(R"({"action":"unload","version":"v2","fencing":6})") == 200);
 }
 
-TEST_CASE("A caller that closes its connection frees the slot")
+TEST_CASE("The slot of a caller that closes its connection becomes free")
 {
-    // One slot is taken by an answer that would last for hours. When its caller leaves, the next
-    // request gets the slot; if the engine went on, that request would never be answered.
-    stand_in_fixture given(R"({"threads":1,"engines":[
+    // The only slot is used by an answer that would take hours. When its caller disconnects, the
+    // next request has to get the slot; otherwise it would never be answered.
+    stand_in_fixture stand_in(R"({"threads":1,"engines":[
         {"name":"e1","versions":["v1"],"slots":1,"decode_us_per_token":1000}]})");
-    const auto began = std::make_shared<std::promise<void>>();
+    const auto started = std::make_shared<std::promise<void>>();
     http::request endless;
     endless.method = "POST";
     endless.target = chat_path;
     endless.body = chat_body(R"("stream":true,)", "tokens=50000000");
     http::call_events events;
-    events.on_head = [began](const auto&) {
-        began->set_value();
+    events.on_head = [started](const auto&) {
+        started->set_value();
     };
     events.on_done = [](const auto&) {
     };
-    const auto call = given.client->send(given.where("e1"), std::move(endless), std::move(events));
+    const auto call =
+        stand_in.client->send(stand_in.where("e1"), std::move(endless), std::move(events));
     REQUIRE(
-        began->get_future().wait_for(stand_in_fixture::longest_wait) == std::future_status::ready);
+        started->get_future().wait_for(stand_in_fixture::max_wait) == std::future_status::ready);
     call->cancel();
-    const auto next = given.call("e1", "POST", chat_path, chat_body(""));
+    const auto next = stand_in.call("e1", "POST", chat_path, chat_body(""));
     REQUIRE(next);
     CHECK(next->status == 200);
 }
 
-TEST_CASE("The plain service counts how often a request id and a body were run")
+TEST_CASE("The plain service counts how often each request id and body was run")
 {
-    // The answer to the first call is lost after its effect; a caller that sends it again is seen
-    // in the counters.
-    stand_in_fixture given(R"({"threads":1,"services":[{"name":"notes"}]})");
-    given.set_faults("notes", R"({"lose_answer_every":1})");
-    CHECK_FALSE(given.call("notes", "POST", "/note", "note-1"));
-    given.set_faults("notes", R"({"lose_answer_every":0})");
-    REQUIRE(given.call("notes", "POST", "/note", "note-1"));
-    REQUIRE(given.call("notes", "POST", "/note", "note-2"));
-    const auto runs = platform::parse_object(given.call("notes", "GET", "/runs", "")->body);
+    // The answer to the first call is lost after the request was run; the counters show that the
+    // request was sent again.
+    stand_in_fixture stand_in(R"({"threads":1,"services":[{"name":"notes"}]})");
+    stand_in.set_faults("notes", R"({"lose_answer_every":1})");
+    CHECK_FALSE(stand_in.call("notes", "POST", "/note", "note-1"));
+    stand_in.set_faults("notes", R"({"lose_answer_every":0})");
+    REQUIRE(stand_in.call("notes", "POST", "/note", "note-1"));
+    REQUIRE(stand_in.call("notes", "POST", "/note", "note-2"));
+    const auto runs = platform::parse_object(stand_in.call("notes", "GET", "/runs", "")->body);
     REQUIRE(runs);
     CHECK(platform::count_field(*runs, "runs") == 3);
     CHECK(platform::count_field(*runs, "bodies") == 2);
     CHECK(platform::array_field(*runs, "repeated_bodies")->size() == 1);
 }
 
-TEST_CASE("Settings list all their problems with the path")
+TEST_CASE("All problems of the settings are reported with their paths")
 {
     const auto parsed = standin::parse_settings(R"({"threads":0,"oops":1,
         "engines":[{"versions":"v1","slots":"many"}],"hosts":{"initial":[{"host":"h"}]}})");
--- a/source/unit_tests/platform/stand_in_fixture.hpp
+++ b/source/unit_tests/platform/stand_in_fixture.hpp
@@ -12,12 +12,12 @@
 #include "http/client.hpp"
 #include "stand_in.hpp"
 
-/// A running stand-in and a client to it over loopback.
+/// A running stand-in and a client connected to it over loopback.
 struct stand_in_fixture {
     using client_pointer = std::shared_ptr<reedramp::http::client>;
 
     explicit stand_in_fixture(
-        const std::string& settings, std::chrono::milliseconds idle_timeout = longest_wait)
+        const std::string& settings, std::chrono::milliseconds idle_timeout = max_wait)
         : started(reedramp::standin::stand_in::start(
               reedramp::standin::parse_settings(settings).value())),
           pool(1)
@@ -39,12 +39,12 @@
     auto call(const std::string& part, std::string method, std::string target, std::string body)
         -> reedramp::common::result<reedramp::http::response>
     {
-        reedramp::http::request asked;
-        asked.method = std::move(method);
-        asked.target = std::move(target);
-        asked.body = std::move(body);
+        reedramp::http::request request;
+        request.method = std::move(method);
+        request.target = std::move(target);
+        request.body = std::move(body);
         return this->wait_for<reedramp::http::response>([&](auto done) {
-            this->client->send(this->where(part), std::move(asked), {{}, {}, std::move(done)});
+            this->client->send(this->where(part), std::move(request), {{}, {}, std::move(done)});
         });
     }
 
@@ -53,7 +53,7 @@
         REQUIRE(this->call(part, "POST", "/faults", json)->status == 200);
     }
 
-    /// Starts something and waits for its answer.
+    /// Calls `start` with a callback and waits for the answer passed to the callback.
     template <typename Answer, typename Start>
     static auto wait_for(Start start) -> reedramp::common::result<Answer>
     {
@@ -61,11 +61,11 @@
         const auto promise = std::make_shared<std::promise<result>>();
         auto future = promise->get_future();
         start([promise](result answer) { promise->set_value(std::move(answer)); });
-        REQUIRE(future.wait_for(longest_wait) == std::future_status::ready);
+        REQUIRE(future.wait_for(max_wait) == std::future_status::ready);
         return future.get();
     }
 
-    static constexpr std::chrono::milliseconds longest_wait{20000};
+    static constexpr std::chrono::milliseconds max_wait{20000};
 
     reedramp::common::result<std::unique_ptr<reedramp::standin::stand_in>> started;
     reedramp::daemon::io_pool pool;
