--- a/source/agent/agent_process.cpp
+++ b/source/agent/agent_process.cpp
@@ -62,10 +62,10 @@
     peer_options.now = daemon::boot_time;
     this->peers = wire::rpc_client::create(peer_options);
     auto client = http::client::create(this->threads.next_context(), {});
-    this->hosts = std::make_shared<membership::host_watch>(
+    this->hosts = std::make_shared<membership::host_watcher>(
         membership::location{this->settings.host, this->settings.data_centre, {}},
         this->settings.tailers,
-        membership::host_watch_hooks{
+        membership::host_watcher_hooks{
             platform::make_http_hosts(client, this->settings.hosts),
             daemon::boot_time,
             this->threads.timers()},
--- a/source/agent/agent_process.hpp
+++ b/source/agent/agent_process.hpp
@@ -12,7 +12,7 @@
 #include "engine_control.hpp"
 #include "http/server.hpp"
 #include "inventory/follower.hpp"
-#include "membership/host_watch.hpp"
+#include "membership/host_watcher.hpp"
 #include "operations_api.hpp"
 #include "platform/hooks.hpp"
 #include "settings.hpp"
@@ -72,7 +72,7 @@
     const agent_settings settings;
     daemon::io_pool threads;
     core_metrics metrics;
-    std::shared_ptr<membership::host_watch> hosts;
+    std::shared_ptr<membership::host_watcher> hosts;
     std::unique_ptr<wire::rpc_client> peers;
     std::shared_ptr<inventory::follower> follower;
     platform::log_hooks log;
--- a/source/core/entry/placer.cpp
+++ b/source/core/entry/placer.cpp
@@ -203,11 +203,11 @@
 {
     const auto now = this->hooks.now();
     if (!answer) {
-        this->members->failed(from.server, now);
+        this->members->on_failure(from.server, now);
         this->pool.remove_server(from.server);
         return;
     }
-    this->members->probe_answered(*answer);
+    this->members->on_probe_answer(*answer);
     this->pool.add(version, *answer, from.distance, now);
 }
 
@@ -288,14 +288,14 @@
     case attempt_end::failed:
         return;
     case attempt_end::refused:
-        this->members->refused(report.server, report.incarnation, report.code);
+        this->members->on_refusal(report.server, report.incarnation, report.code);
         if (report.code == common::result_code::wrong_incarnation) {
             this->probe(report.server);
         }
         return;
     case attempt_end::never_sent:
     case attempt_end::lost:
-        this->members->failed(report.server, this->hooks.now());
+        this->members->on_failure(report.server, this->hooks.now());
         this->pool.remove_server(report.server);
         return;
     }
@@ -306,7 +306,7 @@
     const auto now = this->hooks.now();
     for (const auto& status : this->members->statuses(now)) {
         if (status.server.rpc == address) {
-            this->members->failed(status.server.server, now);
+            this->members->on_failure(status.server.server, now);
             this->pool.remove_server(status.server.server);
         }
     }
@@ -328,10 +328,10 @@
                 return;
             }
             if (answer) {
-                self->members->probe_answered(*answer);
+                self->members->on_probe_answer(*answer);
                 return;
             }
-            self->members->failed(server, self->hooks.now());
+            self->members->on_failure(server, self->hooks.now());
         });
 }
 
--- a/source/core/membership/host_watch.cpp
+++ b/source/core/membership/host_watcher.cpp
@@ -1,4 +1,4 @@
-#include "membership/host_watch.hpp"
+#include "membership/host_watcher.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -9,71 +9,74 @@
 
 namespace {
 
-constexpr common::duration shortest_period = std::chrono::seconds(1);
+constexpr common::duration min_list_period = std::chrono::seconds(1);
 constexpr auto tailer_key = "configuration/";
 
 } // namespace
 
-auto tailer_count(std::size_t processes, std::size_t least) -> std::size_t
+auto tailer_count(std::size_t processes, std::size_t min_tailers) -> std::size_t
 {
     const auto share = (processes + processes_per_tailer - 1) / processes_per_tailer;
-    return std::max(share, least);
+    return std::max(share, min_tailers);
 }
 
-host_watch::host_watch(
-    location here, std::size_t least, host_watch_hooks given, std::shared_ptr<view> known)
-    : self(std::move(here)), least_tailers(least), hooks(std::move(given)),
+host_watcher::host_watcher(
+    location here,
+    std::size_t wanted_tailers,
+    host_watcher_hooks given,
+    std::shared_ptr<view> known)
+    : self(std::move(here)), min_tailers(wanted_tailers), hooks(std::move(given)),
       members(std::move(known))
 {
 }
 
 auto list_period(std::size_t rows) -> common::duration
 {
-    return std::max<common::duration>(shortest_period, rows * period_for_row);
+    return std::max<common::duration>(min_list_period, rows * list_period_per_row);
 }
 
-auto host_watch::start() -> void
+auto host_watcher::start() -> void
 {
-    this->ask();
+    this->read_list();
 }
 
-auto host_watch::ask() -> void
+auto host_watcher::read_list() -> void
 {
     this->hooks.list.list(
         [weak = this->weak_from_this()](common::result<std::vector<platform::host_entry>> rows) {
-            const auto watch = weak.lock();
-            if (!watch) {
+            const auto watcher = weak.lock();
+            if (!watcher) {
                 return;
             }
-            auto pause = shortest_period;
+            auto period = min_list_period;
             if (rows) {
-                pause = list_period(rows->size());
-                watch->take(std::move(*rows));
+                period = list_period(rows->size());
+                watcher->apply_list(std::move(*rows));
             }
-            watch->hooks.timer(watch->hooks.now() + pause, [weak] {
-                if (const auto again = weak.lock()) {
-                    again->ask();
+            watcher->hooks.timer(watcher->hooks.now() + period, [weak] {
+                if (const auto next = weak.lock()) {
+                    next->read_list();
                 }
             });
         });
 }
 
-auto host_watch::take(std::vector<platform::host_entry> rows) -> void
+auto host_watcher::apply_list(std::vector<platform::host_entry> rows) -> void
 {
     this->members->update_hosts(std::move(rows));
-    auto next = this->find_sources();
+    auto next = this->find_configuration_sources();
     {
         const std::lock_guard guard(this->lock);
-        this->found = std::move(next);
+        this->sources = std::move(next);
     }
     if (this->hooks.entries_changed) {
         this->hooks.entries_changed(this->entry_hosts());
     }
 }
 
-auto host_watch::find_sources() const -> sources
+auto host_watcher::find_configuration_sources() const -> configuration_sources
 {
-    sources made;
+    configuration_sources made;
     std::vector<peer_view> near;
     std::vector<common::host_id> near_hosts;
     for (const auto role : {platform::host_role::entry, platform::host_role::server}) {
@@ -88,7 +91,7 @@
         }
     }
     auto first = rank(tailer_key + this->self.data_centre.value(), near_hosts);
-    first.resize(std::min(first.size(), tailer_count(first.size(), this->least_tailers)));
+    first.resize(std::min(first.size(), tailer_count(first.size(), this->min_tailers)));
     const auto reads_log = [&first](const common::host_id& host) {
         return std::find(first.begin(), first.end(), host) != first.end();
     };
@@ -101,32 +104,32 @@
     return made;
 }
 
-auto host_watch::peers() const -> std::vector<messages::rpc_address>
+auto host_watcher::peers() const -> std::vector<messages::rpc_address>
 {
     const std::lock_guard guard(this->lock);
-    return this->found.peers;
+    return this->sources.peers;
 }
 
-auto host_watch::tailers() const -> std::vector<messages::rpc_address>
+auto host_watcher::tailers() const -> std::vector<messages::rpc_address>
 {
     const std::lock_guard guard(this->lock);
-    return this->found.tailers;
+    return this->sources.tailers;
 }
 
-auto host_watch::is_tailer() const -> bool
+auto host_watcher::is_tailer() const -> bool
 {
     const std::lock_guard guard(this->lock);
-    return this->found.reads_log;
+    return this->sources.reads_log;
 }
 
-auto host_watch::entries() const -> std::vector<peer_view>
+auto host_watcher::entries() const -> std::vector<peer_view>
 {
     auto others = this->members->peers(platform::host_role::entry);
     std::erase_if(others, [this](const auto& peer) { return peer.host == this->self.host; });
     return others;
 }
 
-auto host_watch::address_of(const common::host_id& entry) const -> messages::rpc_address
+auto host_watcher::address_of(const common::host_id& entry) const -> messages::rpc_address
 {
     for (const auto& peer : this->entries()) {
         if (peer.host == entry) {
@@ -136,7 +139,7 @@
     return {};
 }
 
-auto host_watch::entry_hosts() const -> std::vector<common::host_id>
+auto host_watcher::entry_hosts() const -> std::vector<common::host_id>
 {
     std::vector<common::host_id> all{this->self.host};
     for (const auto& peer : this->entries()) {
@@ -145,7 +148,7 @@
     return all;
 }
 
-auto host_watch::rank_of_self(std::string_view key) const -> std::uint32_t
+auto host_watcher::rank_of_self(std::string_view key) const -> std::uint32_t
 {
     const auto order = rank(key, this->entry_hosts());
     const auto place = std::find(order.begin(), order.end(), this->self.host);
--- a/source/core/membership/readiness.cpp
+++ b/source/core/membership/readiness.cpp
@@ -2,20 +2,20 @@
 
 namespace reedramp::membership {
 
-auto readiness::update(bool has_configuration, const server_coverage& seen, common::time_point now)
-    -> bool
+auto readiness::update(
+    bool has_configuration, const server_coverage& coverage, common::time_point now) -> bool
 {
     const std::lock_guard guard(this->lock);
     if (this->is_ready) {
         return true;
     }
-    if (!has_configuration || !seen.list_was_read) {
+    if (!has_configuration || !coverage.list_was_read) {
         return false;
     }
-    if (this->settled_at == common::never) {
-        this->settled_at = now + this->settings.settle;
+    if (this->wait_ends_at == common::never) {
+        this->wait_ends_at = now + this->settings.server_wait;
     }
-    this->is_ready = seen.listed == seen.servers || now >= this->settled_at;
+    this->is_ready = coverage.listed == coverage.servers || now >= this->wait_ends_at;
     return this->is_ready;
 }
 
--- a/source/core/membership/readiness.hpp
+++ b/source/core/membership/readiness.hpp
@@ -8,32 +8,35 @@
 namespace reedramp::membership {
 
 struct readiness_settings {
-    /// How long an entry with a configuration waits for servers that the list does not show yet.
-    common::duration settle = std::chrono::seconds(3);
+    /// How long an entry that has a configuration waits for servers missing from the list of hosts.
+    common::duration server_wait = std::chrono::seconds(3);
 };
 
-/// Whether a starting entry knows its backend servers well enough to be sent requests.
+/// Decides when a starting entry knows enough backend servers to receive requests.
 ///
-/// Addresses come from the list of hosts alone. An entry that says it is ready before it has read
-/// the list refuses each request with `no_capacity`, while others could have served it; so without
-/// one reading it is never ready. The list lags, so the first reading may lack servers; the entry
-/// waits for them, but not for ever, since a server that is gone stays in the inventory. Once
-/// ready it stays so: when the list is down later, what it said last still holds.
+/// The servers' addresses come only from the list of hosts. An entry that reports ready before it
+/// has read the list would refuse each request with `no_capacity` although other entries could
+/// serve it, so it is not ready before the first read. The list lags, so the first read may lack
+/// servers. The entry waits for them only for `server_wait`, since a server that no longer exists
+/// may still be in the inventory. A ready entry stays ready: if the list is unavailable later, the
+/// last one remains in force.
 ///
 /// Thread-safe.
 class readiness {
 public:
     explicit readiness(readiness_settings wanted = {}) : settings(wanted) {}
 
-    /// Looks again; call it whenever the answer is wanted.
-    auto update(bool has_configuration, const server_coverage& seen, common::time_point now)
+    /// Evaluates the current state and returns whether the entry is ready. Call it for each
+    /// readiness check.
+    auto update(bool has_configuration, const server_coverage& coverage, common::time_point now)
         -> bool;
 
 private:
     readiness_settings settings;
     std::mutex lock;
     bool is_ready = false;
-    common::time_point settled_at = common::never;
+    /// End of the wait for missing servers; `never` before it has started.
+    common::time_point wait_ends_at = common::never;
 };
 
 } // namespace reedramp::membership
--- a/source/core/membership/rendezvous.cpp
+++ b/source/core/membership/rendezvous.cpp
@@ -23,7 +23,8 @@
         weighed.emplace_back(weight(key, host.value()), &host);
     }
     std::ranges::sort(weighed, [](const auto& one, const auto& other) {
-        // Equal weights are as good as impossible, but all processes must agree then, too.
+        // Equal weights are very unlikely, but the order must be the same in all processes then
+        // too.
         return one.first != other.first ? one.first > other.first : *one.second < *other.second;
     });
     std::vector<common::host_id> ranked;
--- a/source/core/membership/rendezvous.hpp
+++ b/source/core/membership/rendezvous.hpp
@@ -9,11 +9,11 @@
 
 namespace reedramp::membership {
 
-/// Weight of `node` for `key`; equal in all processes. The node with the highest weight comes
-/// first, so that a node that joins or leaves moves only the keys that it wins or held.
+/// Rendezvous hash: the weight of `node` for `key`, the same in all processes. A key belongs to the
+/// node with the highest weight, so a node that joins or leaves moves only its own keys.
 auto weight(std::string_view key, std::string_view node) -> std::uint64_t;
 
-/// The hosts, highest weight for `key` first. Duplicates are kept.
+/// Returns the hosts in descending order of their weight for `key`. Duplicates are kept.
 auto rank(std::string_view key, std::span<const common::host_id> hosts)
     -> std::vector<common::host_id>;
 
--- a/source/core/membership/subset.cpp
+++ b/source/core/membership/subset.cpp
@@ -37,7 +37,7 @@
                                   : one.server->server < other.server->server;
 }
 
-auto in_order(const location& self, std::span<const server_view> candidates)
+auto sort_by_preference(const location& self, std::span<const server_view> candidates)
     -> std::vector<weighed_server>
 {
     std::vector<weighed_server> ordered;
@@ -61,20 +61,21 @@
     const location& self, std::span<const server_view> candidates, const subset_config& config)
     -> std::vector<server_view>
 {
-    const auto ordered = in_order(self, candidates);
+    const auto ordered = sort_by_preference(self, candidates);
     const auto local = static_cast<std::size_t>(std::ranges::count_if(ordered, is_local));
     const auto remote = ordered.size() - local;
-    // Without places held for other data centres, the loss of the own one leaves no connection, and
-    // all its entries would open new ones at the same moment.
-    const auto kept_elsewhere = std::min({config.elsewhere, remote, config.size});
-    const auto taken_locally = std::min(local, config.size - kept_elsewhere);
-    const auto taken_elsewhere = std::min(remote, config.size - taken_locally);
+    // Some connections are reserved for other data centres: otherwise the loss of this data
+    // centre's servers would leave no connection, and all its entries would open new ones at the
+    // same time.
+    const auto reserved_remote = std::min({config.elsewhere, remote, config.size});
+    const auto chosen_local = std::min(local, config.size - reserved_remote);
+    const auto chosen_remote = std::min(remote, config.size - chosen_local);
     std::vector<server_view> chosen;
-    chosen.reserve(taken_locally + taken_elsewhere);
-    for (std::size_t index = 0; index < taken_locally; ++index) {
+    chosen.reserve(chosen_local + chosen_remote);
+    for (std::size_t index = 0; index < chosen_local; ++index) {
         chosen.push_back(*ordered[index].server);
     }
-    for (std::size_t index = 0; index < taken_elsewhere; ++index) {
+    for (std::size_t index = 0; index < chosen_remote; ++index) {
         chosen.push_back(*ordered[local + index].server);
     }
     return chosen;
--- a/source/core/membership/subset.hpp
+++ b/source/core/membership/subset.hpp
@@ -10,7 +10,7 @@
 
 namespace reedramp::membership {
 
-/// Where a process is, by its settings.
+/// Configured location of a process.
 struct location {
     common::host_id host;
     common::data_centre_id data_centre;
@@ -18,17 +18,18 @@
 };
 
 struct subset_config {
-    /// Connections an entry keeps for one version or service.
+    /// Maximum number of servers that an entry keeps connections to, per version or service.
     std::size_t size = 8;
-    /// How many of them lead to other data centres, if there are such servers.
+    /// How many of them are in other data centres, if there are such servers.
     std::size_t elsewhere = 2;
 };
 
-/// The servers that this process keeps connections to, nearest first, out of those that are usable.
+/// Chooses the servers that this process keeps connections to among the usable ones, nearest first.
 ///
-/// It is a pure function of the candidates: when a data centre is lost, its servers leave the
-/// candidates and the next call fills the places from the others. Within one distance the order is
-/// by rendezvous, so that entries spread over the servers and a lost server moves few connections.
+/// The result depends only on the arguments: when a data centre is lost, its servers are no longer
+/// among the candidates, and the next call chooses others instead. Servers at the same distance are
+/// in rendezvous order, so that the entries spread over the servers and the loss of a server moves
+/// few connections.
 auto choose_subset(
     const location& self, std::span<const server_view> candidates, const subset_config& config)
     -> std::vector<server_view>;
--- a/source/core/membership/view.cpp
+++ b/source/core/membership/view.cpp
@@ -14,36 +14,37 @@
 using platform::host_entry;
 using platform::host_state;
 
-/// Incarnations of one server that are remembered of each kind; a host is replaced a few times a
-/// day at most, and a late answer is seconds late.
-constexpr std::size_t remembered_incarnations = 8;
+/// Maximum number of earlier and of leaving incarnations kept for a server. Enough to recognise
+/// late answers: a host is replaced a few times a day at most, and an answer is late by seconds.
+constexpr std::size_t max_incarnations = 8;
 
-/// Servers outside the inventory whose announcements are remembered.
-constexpr std::ptrdiff_t most_dropped_servers = 4096;
+/// Maximum number of servers kept after their removal from the inventory.
+constexpr std::ptrdiff_t max_removed_servers = 4096;
 
-/// Doublings after which every suspension is at its longest.
-constexpr std::uint32_t most_doublings = 16;
+/// Number of doublings after which a suspension is always at its maximum.
+constexpr std::uint32_t max_doublings = 16;
 
 auto contains(const std::vector<incarnation_id>& list, incarnation_id wanted) -> bool
 {
     return std::ranges::find(list, wanted) != list.end();
 }
 
-auto remember(std::vector<incarnation_id>& list, incarnation_id added) -> void
+auto add_incarnation(std::vector<incarnation_id>& list, incarnation_id added) -> void
 {
     if (contains(list, added)) {
         return;
     }
-    if (list.size() >= remembered_incarnations) {
+    if (list.size() >= max_incarnations) {
         list.erase(list.begin());
     }
     list.push_back(added);
 }
 
-auto say(const common::server_id& server, std::string_view what, common::log_level level) -> void
+auto log_server(const common::server_id& server, std::string_view text, common::log_level level)
+    -> void
 {
     common::log(
-        common::log_part::members, level, "server=" + server.value() + " " + std::string{what});
+        common::log_part::members, level, "server=" + server.value() + " " + std::string{text});
 }
 
 } // namespace
@@ -94,11 +95,11 @@
         server.row = std::move(row);
         server.in_inventory = true;
     }
-    this->forget_dropped_servers();
+    this->purge_removed_servers();
     ++this->changes;
 }
 
-auto view::probe_answered(const messages::probe_answer& answer) -> void
+auto view::on_probe_answer(const messages::probe_answer& answer) -> void
 {
     const std::lock_guard guard(this->lock);
     const auto found = this->servers.find(answer.server);
@@ -111,10 +112,11 @@
     }
     if (server.incarnation != answer.incarnation) {
         if (server.incarnation.value() != 0) {
-            remember(server.earlier, server.incarnation);
+            add_incarnation(server.earlier, server.incarnation);
         }
         server.incarnation = answer.incarnation;
-        say(answer.server,
+        log_server(
+            answer.server,
             "has a new incarnation=" + std::to_string(answer.incarnation.value()),
             common::log_level::info);
         ++this->changes;
@@ -122,7 +124,7 @@
     if (server.failures != 0) {
         server.failures = 0;
         server.suspended_until = {};
-        say(answer.server, "answers again", common::log_level::info);
+        log_server(answer.server, "responds again", common::log_level::info);
         ++this->changes;
     }
     if (answer.leaving) {
@@ -130,7 +132,7 @@
     }
 }
 
-auto view::failed(const common::server_id& server_name, common::time_point now) -> void
+auto view::on_failure(const common::server_id& server_name, common::time_point now) -> void
 {
     const std::lock_guard guard(this->lock);
     const auto found = this->servers.find(server_name);
@@ -138,21 +140,22 @@
         return;
     }
     auto& server = found->second;
-    // All calls to a lost server fail together; they are one failure, not many.
+    // All calls to a lost server fail at the same time; they count as one failure.
     if (server.failures != 0 && now < server.suspended_until) {
         return;
     }
-    const auto doublings = std::min(server.failures, most_doublings);
+    const auto doublings = std::min(server.failures, max_doublings);
     const auto wanted = this->config.first_suspension * (std::int64_t{1} << doublings);
-    server.suspended_until = now + std::min(wanted, this->config.longest_suspension);
+    server.suspended_until = now + std::min(wanted, this->config.max_suspension);
     ++server.failures;
     ++this->changes;
-    say(server_name,
+    log_server(
+        server_name,
         "is suspended failures=" + std::to_string(server.failures),
         common::log_level::warning);
 }
 
-auto view::refused(
+auto view::on_refusal(
     const common::server_id& server_name, incarnation_id incarnation, result_code code) -> void
 {
     const std::lock_guard guard(this->lock);
@@ -216,16 +219,16 @@
 auto view::coverage() const -> server_coverage
 {
     const std::lock_guard guard(this->lock);
-    server_coverage seen;
-    seen.list_was_read = this->list_was_read;
+    server_coverage result;
+    result.list_was_read = this->list_was_read;
     for (const auto& [id, server] : this->servers) {
         if (!server.in_inventory) {
             continue;
         }
-        ++seen.servers;
-        seen.listed += this->host_of(server) != nullptr ? 1U : 0U;
+        ++result.servers;
+        result.listed += this->host_of(server) != nullptr ? 1U : 0U;
     }
-    return seen;
+    return result;
 }
 
 auto view::peers(platform::host_role role) const -> std::vector<peer_view>
@@ -258,7 +261,8 @@
     if (host == nullptr || !server.in_inventory) {
         return availability::absent;
     }
-    // The list can only take away: after it says "live", a leaving incarnation is still leaving.
+    // The list can't make a server usable again: a leaving incarnation is leaving even if the list
+    // says "live".
     if (host->state == host_state::leaving || contains(server.leaving, server.incarnation)) {
         return availability::leaving;
     }
@@ -291,25 +295,26 @@
     if (contains(server.leaving, incarnation)) {
         return;
     }
-    remember(server.leaving, incarnation);
+    add_incarnation(server.leaving, incarnation);
     ++this->changes;
-    say(server.row.server,
+    log_server(
+        server.row.server,
         "is leaving incarnation=" + std::to_string(incarnation.value()),
         common::log_level::info);
 }
 
-auto view::forget_dropped_servers() -> void
+auto view::purge_removed_servers() -> void
 {
-    const auto is_dropped = [](const auto& item) {
+    const auto is_removed = [](const auto& item) {
         return !item.second.in_inventory;
     };
-    // A server that is taken out and put back while it leaves must not get work again, so what it
-    // said outlives its row, up to a bound.
-    std::erase_if(this->servers, [&is_dropped](const auto& item) {
-        return is_dropped(item) && item.second.leaving.empty();
+    // A server that is removed from the inventory and added again while it is leaving must not get
+    // work. Its announcement is therefore kept after the removal, up to a limit.
+    std::erase_if(this->servers, [&is_removed](const auto& item) {
+        return is_removed(item) && item.second.leaving.empty();
     });
-    if (std::ranges::count_if(this->servers, is_dropped) > most_dropped_servers) {
-        std::erase_if(this->servers, is_dropped);
+    if (std::ranges::count_if(this->servers, is_removed) > max_removed_servers) {
+        std::erase_if(this->servers, is_removed);
     }
 }
 
--- a/source/core/membership/view.hpp
+++ b/source/core/membership/view.hpp
@@ -17,11 +17,11 @@
 #include "messages/run.hpp"
 #include "platform/hooks.hpp"
 
-/// Which hosts and backend servers may get work now. The platform's list lags, so it is a hint that
-/// can remove a server but never bring one back that said of itself that it is leaving.
+/// Tracks which hosts and backend servers may get work. The platform's list of hosts lags: it can
+/// remove a server, but never make one usable again that has announced that it is leaving.
 namespace reedramp::membership {
 
-/// A backend server as the inventory names it; the list of hosts adds its address.
+/// A backend server in the inventory; its address comes from the list of hosts.
 struct server_row {
     common::server_id server;
     common::host_id host;
@@ -38,11 +38,11 @@
     common::data_centre_id data_centre;
     common::region_id region;
     messages::rpc_address rpc;
-    /// Last incarnation that answered; 0 while none has.
+    /// Last incarnation that answered a probe; 0 if none has.
     common::incarnation_id incarnation;
 };
 
-/// How many of the inventory's servers the list of hosts shows.
+/// How many of the inventory's servers are in the list of hosts.
 struct server_coverage {
     /// Whether the list was read at least once.
     bool list_was_read = false;
@@ -50,7 +50,7 @@
     std::size_t listed = 0;
 };
 
-/// An entry or agent process that can be asked.
+/// An entry or agent process that can be called.
 struct peer_view {
     common::host_id host;
     common::data_centre_id data_centre;
@@ -62,9 +62,9 @@
 
 enum class availability : std::uint8_t {
     usable,
-    /// Did not answer; tried again at a later time.
+    /// Did not respond; gets no work until the suspension ends.
     suspended,
-    /// Said of itself, or the list says, that it takes no new work.
+    /// Takes no new work, by its own announcement or by the list.
     leaving,
     /// Not in the list of hosts, or not in the inventory.
     absent
@@ -82,50 +82,51 @@
 };
 
 struct view_config {
-    /// First suspension after a failure; it doubles with each further failure up to the longest.
+    /// Suspension after the first failure; doubles with each further failure up to
+    /// `max_suspension`.
     common::duration first_suspension = std::chrono::milliseconds{200};
-    common::duration longest_suspension = std::chrono::seconds{5};
+    common::duration max_suspension = std::chrono::seconds{5};
 };
 
-/// Merges the inventory's servers, the list of hosts, probe answers, closed connections and
-/// announcements into one view. Thread-safe; calls no hook.
+/// Combines the inventory's servers, the list of hosts, probe answers, closed connections and
+/// announcements into one view of the members. Thread-safe; calls no hook.
 class view {
 public:
     explicit view(view_config settings = {}) : config(settings) {}
 
-    /// Takes a new list of hosts. An empty one is ignored when hosts were known: a list service
-    /// that has lost its data must not take all servers away.
+    /// Replaces the list of hosts. An empty list is ignored if hosts are known: a list service that
+    /// has lost its data must not remove all servers.
     auto update_hosts(std::vector<platform::host_entry> rows) -> void;
 
-    /// Takes the backend servers of a new configuration.
+    /// Replaces the inventory's backend servers with those of a new configuration.
     auto update_servers(std::vector<server_row> rows) -> void;
 
-    /// An answer to a probe, at `now`. It ends a suspension, tells the incarnation, and counts at
-    /// once when it says `leaving`. Answers of earlier incarnations are dropped.
-    auto probe_answered(const messages::probe_answer& answer) -> void;
+    /// Applies the answer to a probe: ends the suspension, and sets the server's incarnation and,
+    /// where the answer says so, that it is leaving. Answers of earlier incarnations are ignored.
+    auto on_probe_answer(const messages::probe_answer& answer) -> void;
 
-    /// A probe or call got no answer, or the connection was closed: suspend the server.
-    auto failed(const common::server_id& server, common::time_point now) -> void;
+    /// Suspends the server after a probe or call without a response or a closed connection.
+    auto on_failure(const common::server_id& server, common::time_point now) -> void;
 
-    /// An agent refused work. `server_leaving` and `shutting_down` mark that incarnation as
-    /// leaving.
-    auto refused(
+    /// Applies an agent's refusal of work. The codes `server_leaving` and `shutting_down` mark the
+    /// incarnation as leaving.
+    auto on_refusal(
         const common::server_id& server,
         common::incarnation_id incarnation,
         common::result_code code) -> void;
 
-    /// Servers that may get new work of this version or service, in order of their ids.
+    /// Servers that may get new work for this version or service, sorted by id.
     [[nodiscard]] auto servers_for(const common::version_id& version, common::time_point now) const
         -> std::vector<server_view>;
     [[nodiscard]] auto
     servers_for(const common::service_name& service, common::time_point now) const
         -> std::vector<server_view>;
 
-    /// A server's address and last incarnation, whether or not it may get new work; the outcome of
-    /// an earlier run is asked also of a leaving one.
+    /// A server's address and last incarnation, whether or not it may get new work: a leaving
+    /// server is still asked for the outcome of an earlier run.
     [[nodiscard]] auto find(const common::server_id& server) const -> std::optional<server_view>;
 
-    /// Every server of the inventory with its state, for operators.
+    /// All servers of the inventory with their states, for operators.
     [[nodiscard]] auto statuses(common::time_point now) const -> std::vector<server_status>;
 
     [[nodiscard]] auto coverage() const -> server_coverage;
@@ -133,16 +134,17 @@
     /// Entries and agents of the list that are not leaving.
     [[nodiscard]] auto peers(platform::host_role role) const -> std::vector<peer_view>;
 
-    /// Grows with each change that can change which servers are usable, apart from time passing.
+    /// Increases with each change that can affect which servers are usable, except the passing of
+    /// time.
     [[nodiscard]] auto generation() const -> std::uint64_t;
 
 private:
     struct server_state {
         server_row row;
         common::incarnation_id incarnation;
-        /// Earlier incarnations, oldest first, at most `remembered_incarnations`.
+        /// Earlier incarnations, oldest first, at most `max_incarnations`.
         std::vector<common::incarnation_id> earlier;
-        /// Incarnations that are leaving, oldest first, at most `remembered_incarnations`.
+        /// Incarnations that are leaving, oldest first, at most `max_incarnations`.
         std::vector<common::incarnation_id> leaving;
         std::uint32_t failures = 0;
         common::time_point suspended_until{};
@@ -153,7 +155,7 @@
         -> availability;
     [[nodiscard]] auto describe(const server_state& server) const -> server_view;
     [[nodiscard]] auto host_of(const server_state& server) const -> const platform::host_entry*;
-    auto forget_dropped_servers() -> void;
+    auto purge_removed_servers() -> void;
     auto mark_leaving(server_state& server, common::incarnation_id incarnation) -> void;
 
     template <typename Matches>
--- a/source/entry/claim_router.hpp
+++ b/source/entry/claim_router.hpp
@@ -5,7 +5,7 @@
 #include "claims/claim_arbiter_set.hpp"
 #include "claims/claim_client.hpp"
 #include "common/hooks.hpp"
-#include "membership/host_watch.hpp"
+#include "membership/host_watcher.hpp"
 #include "membership/view.hpp"
 #include "messages/channel.hpp"
 
@@ -17,7 +17,7 @@
     struct dependencies {
         common::host_id self;
         std::shared_ptr<claims::claim_arbiter_set> claim_arbiters;
-        std::shared_ptr<membership::host_watch> hosts;
+        std::shared_ptr<membership::host_watcher> hosts;
         std::shared_ptr<membership::view> members;
         messages::peer_calls peers;
         messages::agent_calls agents;
--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -112,7 +112,7 @@
 auto entry_process::make_members() -> void
 {
     this->members = std::make_shared<membership::view>();
-    membership::host_watch_hooks watching;
+    membership::host_watcher_hooks watching;
     watching.list = platform::make_http_hosts(
         http::client::create(this->threads.next_context(), {}), this->settings.hosts);
     watching.now = daemon::boot_time;
@@ -120,7 +120,7 @@
     watching.entries_changed = [this](std::vector<common::host_id> entries) {
         this->entries_changed(std::move(entries));
     };
-    this->hosts = std::make_shared<membership::host_watch>(
+    this->hosts = std::make_shared<membership::host_watcher>(
         this->settings.self, this->settings.tailers, std::move(watching), this->members);
     entry::placer_hooks placing;
     placing.now = daemon::boot_time;
--- a/source/entry/entry_process.hpp
+++ b/source/entry/entry_process.hpp
@@ -21,7 +21,7 @@
 #include "inventory/follower.hpp"
 #include "inventory/publisher.hpp"
 #include "limits/shared_limiter.hpp"
-#include "membership/host_watch.hpp"
+#include "membership/host_watcher.hpp"
 #include "membership/readiness.hpp"
 #include "membership/view.hpp"
 #include "platform/hooks.hpp"
@@ -94,7 +94,7 @@
     platform::log_hooks log;
     platform::rating_hooks ratings;
     std::shared_ptr<membership::view> members;
-    std::shared_ptr<membership::host_watch> hosts;
+    std::shared_ptr<membership::host_watcher> hosts;
     membership::readiness readiness;
     control::checkpointer checkpoints;
     std::shared_ptr<entry::placer> placer;
--- a/source/unit_tests/membership/host_watch_test.cpp
+++ b/source/unit_tests/membership/host_watcher_test.cpp
@@ -1,4 +1,4 @@
-#include "membership/host_watch.hpp"
+#include "membership/host_watcher.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -36,18 +36,18 @@
         {}};
 }
 
-/// Processes that watch one list.
-class world {
+/// Several watchers of one list of hosts.
+class fixture {
 public:
-    auto start(const std::string& name) -> host_watch&
+    auto start(const std::string& name) -> host_watcher&
     {
         const location self{common::host_id{name}, common::data_centre_id{home}, {}};
-        host_watch_hooks hooks{this->list.hooks(), this->time.clock(), this->time.timers()};
-        hooks.entries_changed = [this](std::vector<common::host_id> now_live) {
-            this->entries = std::move(now_live);
+        host_watcher_hooks hooks{this->list.hooks(), this->time.clock(), this->time.timers()};
+        hooks.entries_changed = [this](std::vector<common::host_id> live) {
+            this->entries = std::move(live);
         };
         this->watches.push_back(
-            std::make_shared<host_watch>(self, 2, std::move(hooks), std::make_shared<view>()));
+            std::make_shared<host_watcher>(self, 2, std::move(hooks), std::make_shared<view>()));
         this->watches.back()->start();
         return *this->watches.back();
     }
@@ -62,80 +62,81 @@
 
     platform::fake_time time;
     platform::fake_hosts list{time.clock(), time.timers()};
-    std::vector<std::shared_ptr<host_watch>> watches;
+    std::vector<std::shared_ptr<host_watcher>> watches;
     std::vector<common::host_id> entries;
 };
 
 } // namespace
 
-TEST_CASE("A long list is read less often, so that its bytes a second stay the same")
+TEST_CASE("A long list is read less often, so that the bytes per second are bounded")
 {
     CHECK(list_period(3) == 1s);
     CHECK(list_period(33) == 1s);
     CHECK(list_period(1010) == 30'300ms);
-    world all;
+    fixture env;
     for (auto number = 0; number < 200; ++number) {
-        all.list.put(entry_of("h" + std::to_string(number)));
+        env.list.put(entry_of("h" + std::to_string(number)));
     }
-    const auto& watch = all.start("a");
-    all.run_for(100ms);
+    const auto& watch = env.start("a");
+    env.run_for(100ms);
     CHECK(watch.peers().size() == 200);
-    all.list.put(entry_of("late"));
-    all.run_for(5800ms);
+    env.list.put(entry_of("late"));
+    env.run_for(5800ms);
     CHECK(watch.peers().size() == 200);
-    all.run_for(200ms);
+    env.run_for(200ms);
     CHECK(watch.peers().size() == 201);
 }
 
 TEST_CASE("A few processes of each data centre read the log, the others ask live peers")
 {
-    // With the list down each process reads the log itself, since it knows nobody to ask. When the
-    // list is down again later, what it said last stays: configuration still comes.
-    world all;
-    all.list.set_down(true);
+    // While the list is down at the start, each process reads the log itself, since it knows no
+    // peer. When the list is down again later, the last one stays in force, so that the processes
+    // still get the configuration.
+    fixture env;
+    env.list.set_down(true);
     for (const auto* name : {"a", "b", "c", "d"}) {
-        all.start(name);
+        env.start(name);
     }
-    all.run_for(1500ms);
-    CHECK(all.count_tailers() == 4);
+    env.run_for(1500ms);
+    CHECK(env.count_tailers() == 4);
     for (const auto* name : {"a", "b", "c", "d"}) {
-        all.list.put(entry_of(name));
+        env.list.put(entry_of(name));
     }
-    all.list.put(entry_of("e", home, host_role::server, host_state::leaving));
-    all.list.put(entry_of("f", "dc2"));
-    all.list.set_down(false);
-    all.run_for(1500ms);
-    CHECK(all.count_tailers() == 2);
-    CHECK(all.watches[0]->peers().size() == 4);
-    all.list.set_down(true);
-    all.run_for(5s);
-    CHECK(all.watches[0]->peers().size() == 4);
+    env.list.put(entry_of("e", home, host_role::server, host_state::leaving));
+    env.list.put(entry_of("f", "dc2"));
+    env.list.set_down(false);
+    env.run_for(1500ms);
+    CHECK(env.count_tailers() == 2);
+    CHECK(env.watches[0]->peers().size() == 4);
+    env.list.set_down(true);
+    env.run_for(5s);
+    CHECK(env.watches[0]->peers().size() == 4);
 }
 
-TEST_CASE("All agree on who reads the log, and one process in sixteen does")
+TEST_CASE("All processes agree on which of them read the log, one in sixteen")
 {
     CHECK(tailer_count(0, 2) == 2);
     CHECK(tailer_count(32, 2) == 2);
     CHECK(tailer_count(33, 2) == 3);
     CHECK(tailer_count(168, 2) == 11);
-    world all;
+    fixture env;
     for (int index = 0; index < 80; ++index) {
-        all.list.put(entry_of("h" + std::to_string(index)));
-        all.list.put(entry_of("g" + std::to_string(index), "dc2"));
+        env.list.put(entry_of("h" + std::to_string(index)));
+        env.list.put(entry_of("g" + std::to_string(index), "dc2"));
     }
     for (int index = 0; index < 80; ++index) {
-        all.start("h" + std::to_string(index));
+        env.start("h" + std::to_string(index));
     }
-    all.run_for(1ms);
+    env.run_for(1ms);
     std::vector<std::string> reading;
     for (int index = 0; index < 80; ++index) {
-        if (all.watches[index]->is_tailer()) {
+        if (env.watches[index]->is_tailer()) {
             reading.push_back("h" + std::to_string(index) + ":1");
         }
     }
     CHECK(reading.size() == 5);
     for (int index = 0; index < 80; ++index) {
-        const auto& watch = *all.watches[index];
+        const auto& watch = *env.watches[index];
         const auto others = watch.tailers();
         CHECK(others.size() == (watch.is_tailer() ? 4U : 5U));
         for (const auto& address : others) {
@@ -145,21 +146,21 @@
     }
 }
 
-TEST_CASE("Entries are told apart from agents, and ranked alike by all")
+TEST_CASE("Entries are distinguished from agents, and all rank them in the same order")
 {
-    world all;
+    fixture env;
     for (const auto* name : {"e1", "e2", "e3"}) {
-        all.list.put(entry_of(name, home, host_role::entry));
-        all.start(name);
+        env.list.put(entry_of(name, home, host_role::entry));
+        env.start(name);
     }
-    all.list.put(entry_of("agent"));
-    all.run_for(1500ms);
-    CHECK(all.entries.size() == 3);
-    CHECK(all.watches[0]->entries().size() == 2);
-    CHECK(all.watches[0]->address_of(common::host_id{"e2"}).value() == "e2:1");
-    CHECK(all.watches[0]->address_of(common::host_id{"agent"}).value().empty());
+    env.list.put(entry_of("agent"));
+    env.run_for(1500ms);
+    CHECK(env.entries.size() == 3);
+    CHECK(env.watches[0]->entries().size() == 2);
+    CHECK(env.watches[0]->address_of(common::host_id{"e2"}).value() == "e2:1");
+    CHECK(env.watches[0]->address_of(common::host_id{"agent"}).value().empty());
     std::vector<std::uint32_t> ranks;
-    for (const auto& watch : all.watches) {
+    for (const auto& watch : env.watches) {
         ranks.push_back(watch->rank_of_self("rollouts"));
     }
     std::ranges::sort(ranks);
--- a/source/unit_tests/membership/readiness_test.cpp
+++ b/source/unit_tests/membership/readiness_test.cpp
@@ -15,7 +15,7 @@
 struct step {
     common::duration at;
     bool has_configuration;
-    server_coverage seen;
+    server_coverage coverage;
     bool ready;
 };
 
@@ -36,13 +36,13 @@
         {"no configuration", {{0s, false, all, false}, {1h, false, all, false}}},
         {"the list is down: no address is known, however long it takes",
          {{0s, true, unread, false}, {1h, true, unread, false}, {1h, true, all, true}}},
-        {"the first reading lacks servers, which are listed late",
+        {"the first read lacks servers, which are listed later",
          {{0s, true, none, false}, {1s, true, some, false}, {2s, true, all, true}}},
-        {"a server of the inventory is gone: the entry does not wait for it for ever",
+        {"a server of the inventory no longer exists: the entry does not wait for it forever",
          {{0s, true, some, false}, {2999ms, true, some, false}, {3s, true, some, true}}},
-        {"the wait begins with the first configuration and reading, not before",
+        {"the wait begins when both a configuration and a list were read, not before",
          {{0s, true, unread, false}, {1h, true, some, false}, {1h + 3s, true, some, true}}},
-        {"once ready, an entry stays so",
+        {"a ready entry stays ready",
          {{0s, true, all, true}, {1s, true, some, true}, {2s, true, none, true}}},
         {"an inventory without servers", {{0s, true, {true, 0, 0}, true}}},
     };
@@ -52,19 +52,19 @@
 
 TEST_CASE("An entry is ready when it knows its servers")
 {
-    // The caller gets "no capacity" from an entry that has a configuration but has not seen its
-    // servers in the list of hosts. The balancer sent the request there because the entry said
-    // that it was ready; while it says that it isn't, others serve the caller.
+    // An entry that has a configuration, but no addresses from the list of hosts, refuses requests
+    // with "no capacity". It must not report ready then, so that the balancer sends the requests to
+    // other entries.
     for (const auto& row : rows()) {
         INFO(row.what);
         readiness subject;
         for (const auto& one : row.steps) {
-            CHECK(subject.update(one.has_configuration, one.seen, start + one.at) == one.ready);
+            CHECK(subject.update(one.has_configuration, one.coverage, start + one.at) == one.ready);
         }
     }
 }
 
-TEST_CASE("The view tells how many servers of the inventory are listed")
+TEST_CASE("The view counts how many servers of the inventory are listed")
 {
     view members;
     CHECK_FALSE(members.coverage().list_was_read);
--- a/source/unit_tests/membership/subset_test.cpp
+++ b/source/unit_tests/membership/subset_test.cpp
@@ -63,10 +63,10 @@
 
 } // namespace
 
-TEST_CASE("the subset is bounded, near, and never in one data centre alone", "[membership]")
+TEST_CASE("the subset is bounded, near, and spans data centres where possible", "[membership]")
 {
-    // When a data centre is lost, callers see a short rise of latency, not an outage: some
-    // connections lead elsewhere already, and the next choice fills up from what is left.
+    // The loss of a data centre must cause a short rise in latency rather than an outage: some
+    // connections lead to other data centres already, and the next choice replaces the lost ones.
     const std::vector<subset_row> rows = {
         {"enough everywhere", 20, 20, 20, "hhhhhhnn"},
         {"few here", 2, 20, 20, "hhnnnnnn"},
@@ -115,7 +115,7 @@
     CHECK(used.size() == 40);
 }
 
-TEST_CASE("a host that leaves moves only the keys it held", "[membership]")
+TEST_CASE("a host that leaves moves only its own keys", "[membership]")
 {
     const std::vector<host_id> hosts{
         host_id{"a"}, host_id{"b"}, host_id{"c"}, host_id{"d"}, host_id{"e"}};
--- a/source/unit_tests/membership/view_test.cpp
+++ b/source/unit_tests/membership/view_test.cpp
@@ -51,60 +51,63 @@
     return made;
 }
 
-/// What happens to a view that knows one live server of incarnation `first`.
+/// Events on a view that knows one live server of incarnation `first`, and the expected state.
 struct view_row {
     std::string what;
-    std::function<auto(view& members)->void> happens;
+    std::function<auto(view& members)->void> apply_events;
     availability state = availability::usable;
     time_point at = start;
 };
 
 } // namespace
 
-TEST_CASE("what is heard of a server decides whether it gets work", "[membership]")
+TEST_CASE(
+    "probe answers, refusals, failures and the list decide whether a server gets work",
+    "[membership]")
 {
-    // Requests must stop going to a server that leaves or is lost within two seconds, though the
-    // platform's list lags by half a minute; and a list that still says "live" must not send them
-    // back. So what the agent says counts at once, and the list can only take away.
+    // Requests to a server that leaves or is lost must stop within two seconds, although the
+    // platform's list lags by half a minute, and a list that still says "live" must not make the
+    // server usable again. An agent's announcement therefore counts at once, and the list can only
+    // remove servers.
     const std::vector<view_row> rows = {
-        {"nothing",
+        {"no event",
          [](view&) {
          }},
         {"its probe answer says leaving",
-         [](view& members) { members.probe_answered(answer(first, true)); },
+         [](view& members) { members.on_probe_answer(answer(first, true)); },
          availability::leaving},
         {"the list later still says live",
          [](view& members) {
-             members.probe_answered(answer(first, true));
+             members.on_probe_answer(answer(first, true));
              members.update_hosts({row()});
          },
          availability::leaving},
         {"a late answer from before the announcement",
          [](view& members) {
-             members.probe_answered(answer(first, true));
-             members.probe_answered(answer(first));
+             members.on_probe_answer(answer(first, true));
+             members.on_probe_answer(answer(first));
          },
          availability::leaving},
-        {"it refuses work since it is leaving",
-         [](view& members) { members.refused(server, first, result_code::server_leaving); },
+        {"it refuses work because it is leaving",
+         [](view& members) { members.on_refusal(server, first, result_code::server_leaving); },
          availability::leaving},
         {"it refuses work for another reason",
          [](view& members) {
-             members.refused(server, first, result_code::queue_full);
+             members.on_refusal(server, first, result_code::queue_full);
          }},
         {"a new incarnation is a new server",
          [](view& members) {
-             members.probe_answered(answer(first, true));
-             members.probe_answered(answer(second));
+             members.on_probe_answer(answer(first, true));
+             members.on_probe_answer(answer(second));
          }},
         {"a late answer of the old incarnation",
          [](view& members) {
-             members.probe_answered(answer(second));
-             members.probe_answered(answer(first, true));
+             members.on_probe_answer(answer(second));
+             members.on_probe_answer(answer(first, true));
          }},
-        {"taken out of the inventory and put back",
+        {"removed from the inventory and added again",
          [](view& members) {
-             members.probe_answered(answer(first, true));
+             members.on_probe_answer(answer(first, true));
              members.update_servers({});
              members.update_servers(inventory());
          },
@@ -115,35 +118,35 @@
         {"the list drops the host",
          [](view& members) { members.update_hosts({row(host_state::live, "host-2")}); },
          availability::absent},
-        {"the list comes empty",
+        {"the list is empty",
          [](view& members) {
              members.update_hosts({});
          }},
         {"a failed probe",
-         [](view& members) { members.failed(server, start); },
+         [](view& members) { members.on_failure(server, start); },
          availability::suspended,
          start + 199ms},
         {"the end of the suspension",
-         [](view& members) { members.failed(server, start); },
+         [](view& members) { members.on_failure(server, start); },
          availability::usable,
          start + 200ms},
         {"an answer ends the suspension",
          [](view& members) {
-             members.failed(server, start);
-             members.probe_answered(answer(first));
+             members.on_failure(server, start);
+             members.on_probe_answer(answer(first));
          }},
         {"many calls that fail at once are one failure",
          [](view& members) {
-             members.failed(server, start);
-             members.failed(server, start);
-             members.failed(server, start + 1ms);
+             members.on_failure(server, start);
+             members.on_failure(server, start);
+             members.on_failure(server, start + 1ms);
          },
          availability::usable,
          start + 200ms},
         {"a second failure after the first suspension",
          [](view& members) {
-             members.failed(server, start);
-             members.failed(server, start + 200ms);
+             members.on_failure(server, start);
+             members.on_failure(server, start + 200ms);
          },
          availability::suspended,
          start + 599ms},
@@ -153,8 +156,8 @@
         view members;
         members.update_servers(inventory());
         members.update_hosts({row()});
-        members.probe_answered(answer(first));
-        item.happens(members);
+        members.on_probe_answer(answer(first));
+        item.apply_events(members);
         const auto statuses = members.statuses(item.at);
         REQUIRE(statuses.size() == 1);
         CHECK(to_string(statuses.front().state) == to_string(item.state));
@@ -166,17 +169,17 @@
     }
 }
 
-TEST_CASE("suspensions grow to a bound", "[membership]")
+TEST_CASE("suspensions grow up to a maximum", "[membership]")
 {
     // A server that stays lost is tried less and less often, but at least every five seconds, so
-    // that it serves again soon after it is back.
+    // that it gets work again soon after it has recovered.
     view members;
     members.update_servers(inventory());
     members.update_hosts({row()});
     auto now = start;
     common::duration longest{};
     for (int failure = 0; failure < 100; ++failure) {
-        members.failed(server, now);
+        members.on_failure(server, now);
         const auto until = members.statuses(now).front().suspended_until;
         longest = std::max(longest, until - now);
         CHECK(members.servers_for(version, until).size() == 1);
@@ -185,12 +188,12 @@
     CHECK(longest == 5s);
 }
 
-TEST_CASE("a leaving server is still found for questions about its runs", "[membership]")
+TEST_CASE("a leaving server can still be asked about its runs", "[membership]")
 {
     view members;
     members.update_servers(inventory());
     members.update_hosts({row()});
-    members.probe_answered(answer(first, true));
+    members.on_probe_answer(answer(first, true));
     const auto found = members.find(server);
     REQUIRE(found);
     CHECK(found->rpc.value() == "10.0.0.1:7000");
--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -228,14 +228,14 @@
 {
     const membership::location here{node.host, common::data_centre_id(data_centre), {}};
     node.members = std::make_shared<membership::view>();
-    membership::host_watch_hooks watching;
+    membership::host_watcher_hooks watching;
     watching.list = this->list_for(node.alive);
     watching.now = this->time.clock();
     watching.timer = node.alive->timers();
     watching.entries_changed = [at = &node](std::vector<common::host_id> found) {
         at->claim_arbiters->update_entries(std::move(found));
     };
-    node.hosts = std::make_shared<membership::host_watch>(
+    node.hosts = std::make_shared<membership::host_watcher>(
         here, std::size_t{2}, std::move(watching), node.members);
     entry::placer_settings placing;
     placing.self = here;
--- a/source/unit_tests/whole_path/fleet.hpp
+++ b/source/unit_tests/whole_path/fleet.hpp
@@ -18,7 +18,7 @@
 #include "inventory/follower.hpp"
 #include "inventory/publisher.hpp"
 #include "limits/shared_limiter.hpp"
-#include "membership/host_watch.hpp"
+#include "membership/host_watcher.hpp"
 #include "membership/view.hpp"
 #include "network.hpp"
 #include "platform/fake_log.hpp"
@@ -80,7 +80,7 @@
     messages::rpc_address address;
     life_ptr alive;
     std::shared_ptr<membership::view> members;
-    std::shared_ptr<membership::host_watch> hosts;
+    std::shared_ptr<membership::host_watcher> hosts;
     std::shared_ptr<entry::placer> placer;
     std::shared_ptr<inventory::follower> follower;
     std::shared_ptr<inventory::publisher> publisher;
@@ -105,7 +105,7 @@
     messages::rpc_address address;
     life_ptr alive;
     common::incarnation_id incarnation;
-    std::shared_ptr<membership::host_watch> hosts;
+    std::shared_ptr<membership::host_watcher> hosts;
     std::shared_ptr<inventory::follower> follower;
     /// Null until the agent is registered.
     std::shared_ptr<agent::core> core;
--- a/source/unit_tests/whole_path/fleet_agents.cpp
+++ b/source/unit_tests/whole_path/fleet_agents.cpp
@@ -74,10 +74,10 @@
     node->host = common::host_id("h-" + server);
     node->address = messages::rpc_address(server);
     node->alive = std::make_shared<life>(this->time);
-    node->hosts = std::make_shared<membership::host_watch>(
+    node->hosts = std::make_shared<membership::host_watcher>(
         membership::location{node->host, common::data_centre_id(data_centre), {}},
         std::size_t{2},
-        membership::host_watch_hooks{
+        membership::host_watcher_hooks{
             this->list_for(node->alive), this->time.clock(), node->alive->timers()},
         std::make_shared<membership::view>());
     auto hooks = this->make_follower(node->alive);
