--- a/source/core/limits/organisation_limiter.cpp
+++ b/source/core/limits/organisation_limiter.cpp
@@ -117,8 +117,8 @@
         return this->refusal(allowed.binding, allowed.ratio, now);
     }
     const auto demand = std::max(total->requests_per_minute, 1.0);
-    const auto own = this->offered.smoothed().requests;
-    const auto share = std::clamp(own / demand, equal_share, 1.0);
+    const auto own_demand = this->offered.smoothed().requests;
+    const auto share = std::clamp(own_demand / demand, equal_share, 1.0);
     if (const auto binding = this->take_from_bucket(expected, share, bucket_headroom, now)) {
         return this->refusal(*binding, allowed.ratio, now);
     }
@@ -240,16 +240,16 @@
 {
     admission least;
     const auto limits = this->limit.values();
-    const auto own = this->offered.smoothed().values();
+    const auto own_demand = this->offered.smoothed().values();
     const auto demand = offered_of(total);
     const auto reporting = reporting_share(total.entries, listed);
     for (std::size_t index = 0; index < dimension_count; ++index) {
-        const auto wanted = std::max(demand[index], own[index]);
-        if (limits[index] <= 0.0 || wanted <= 0.0) {
+        const auto demanded = std::max(demand[index], own_demand[index]);
+        if (limits[index] <= 0.0 || demanded <= 0.0) {
             continue;
         }
         const auto correction = this->balance[index] * seconds_per_minute / balance_seconds;
-        const auto ratio = std::max(0.0, reporting * limits[index] + correction) / wanted;
+        const auto ratio = std::max(0.0, reporting * limits[index] + correction) / demanded;
         if (ratio < least.ratio) {
             least = {ratio, static_cast<dimension>(index)};
         }
--- a/source/core/limits/shared_limiter.cpp
+++ b/source/core/limits/shared_limiter.cpp
@@ -116,12 +116,12 @@
             item.update_balance(all->data_centres.size(), now);
         }
     });
-    std::vector<demand_report> made;
-    made.reserve(by_host.size());
+    std::vector<demand_report> reports;
+    reports.reserve(by_host.size());
     for (auto& [host, rows] : by_host) {
-        made.push_back({host, std::move(rows)});
+        reports.push_back({host, std::move(rows)});
     }
-    return made;
+    return reports;
 }
 
 auto shared_limiter::on_report(
@@ -169,13 +169,14 @@
     item.store_entry_row(
         this->settings.self, item.make_entry_row(), now + this->settings.row_lifetime);
     item.set_fleet_total(item.make_fleet_row(now), now + this->settings.row_lifetime);
-    std::vector<demand_report> made;
+    std::vector<demand_report> reports;
     for (const auto& [data_centre, hosts] : all.by_data_centre) {
         if (data_centre != this->settings.data_centre) {
-            made.push_back({summing_entry(organisation, hosts), {item.make_data_centre_row(now)}});
+            reports.push_back(
+                {summing_entry(organisation, hosts), {item.make_data_centre_row(now)}});
         }
     }
-    return made;
+    return reports;
 }
 
 auto shared_limiter::apply_row(
--- a/source/core/placement/probe_pool.cpp
+++ b/source/core/placement/probe_pool.cpp
@@ -12,18 +12,18 @@
     common::time_point expires,
     std::uint32_t uses) -> probe_result
 {
-    probe_result made;
-    made.server = answer.server;
-    made.hash = affinity_hash(answer.server.value());
-    made.distance = distance;
-    made.in_flight = answer.in_flight + answer.queued;
-    made.estimated_wait = answer.estimated_wait;
+    probe_result result;
+    result.server = answer.server;
+    result.hash = affinity_hash(answer.server.value());
+    result.distance = distance;
+    result.in_flight = answer.in_flight + answer.queued;
+    result.estimated_wait = answer.estimated_wait;
     if (answer.queued > 0) {
-        made.wait_per_request = answer.estimated_wait / (answer.queued + 1);
+        result.wait_per_request = answer.estimated_wait / (answer.queued + 1);
     }
-    made.expires = expires;
-    made.uses_left = uses;
-    return made;
+    result.expires = expires;
+    result.uses_left = uses;
+    return result;
 }
 
 } // namespace
--- a/source/core/placement/server_selector.cpp
+++ b/source/core/placement/server_selector.cpp
@@ -159,20 +159,20 @@
     common::time_point now,
     const common::random_hook& random) const -> probe_plan
 {
-    probe_plan made;
-    made.place_by = now;
+    probe_plan result;
+    result.place_by = now;
     if (round >= this->settings.probes_by_round.size()) {
-        return made;
+        return result;
     }
     pool.with_fresh(request.version, now, [&](std::span<const probe_result> fresh) {
         if (round == 0 || !has_free_server(request, fresh)) {
-            this->add_targets(made.targets, request, candidates, fresh, round, random);
+            this->add_targets(result.targets, request, candidates, fresh, round, random);
         }
     });
-    if (!made.targets.empty()) {
-        made.place_by = now + this->settings.probe_timeout;
+    if (!result.targets.empty()) {
+        result.place_by = now + this->settings.probe_timeout;
     }
-    return made;
+    return result;
 }
 
 auto server_selector::add_targets(
@@ -244,8 +244,8 @@
     const auto first = static_cast<std::ptrdiff_t>(random() % probes.size());
     std::rotate(probes.begin(), probes.begin() + first, probes.end());
     std::ranges::stable_sort(probes, {}, [&](const probe_result* item) {
-        const auto hot = item->in_flight > limit;
-        return std::tuple(hot, this->expected_wait(*item), item->in_flight, item->distance);
+        const auto is_hot = item->in_flight > limit;
+        return std::tuple(is_hot, this->expected_wait(*item), item->in_flight, item->distance);
     });
     return this->select_by_affinity(request, candidates, probes);
 }
@@ -258,15 +258,20 @@
     const auto& best = *best_first.front();
     const auto bound = this->expected_wait(best) + this->settings.affinity_wait_allowance;
     for (const auto index : preferred_for(request, candidates)) {
-        const auto kept =
+        const auto preferred_result =
             std::ranges::find(best_first, candidates[index].hash, [](const probe_result* item) {
                 return item->hash;
             });
-        if (kept != best_first.end() && this->expected_wait(**kept) <= bound) {
+        if (preferred_result != best_first.end() &&
+            this->expected_wait(**preferred_result) <= bound) {
             const auto reason = request.session_hash != 0 ? placement_reason::session_server
                                                           : placement_reason::prefix_server;
-            const auto& own = **kept;
-            return {own.server, reason, runner_up(best_first, own), own.estimated_wait};
+            const auto& preferred = **preferred_result;
+            return {
+                preferred.server,
+                reason,
+                runner_up(best_first, preferred),
+                preferred.estimated_wait};
         }
     }
     return {
@@ -289,18 +294,18 @@
         return std::nullopt;
     }
     const auto drawn = indexes[random() % indexes.size()];
-    placement made;
-    made.server = candidates[drawn].server;
-    return made;
+    placement result;
+    result.server = candidates[drawn].server;
+    return result;
 }
 
 auto server_selector::nearby_servers_are_busy(std::span<const probe_result> fresh) const -> bool
 {
-    const auto busy = [this](const probe_result& item) {
+    const auto is_busy = [this](const probe_result& item) {
         return item.distance == server_distance::other_region ||
                item.estimated_wait > this->settings.spill_threshold;
     };
-    return !fresh.empty() && std::ranges::all_of(fresh, busy);
+    return !fresh.empty() && std::ranges::all_of(fresh, is_busy);
 }
 
 auto server_selector::expected_wait(const probe_result& item) const -> common::duration
--- a/source/core/platform/fake_log.cpp
+++ b/source/core/platform/fake_log.cpp
@@ -15,25 +15,25 @@
 
 auto fake_log::hooks() -> log_hooks
 {
-    log_hooks made;
-    made.append =
+    log_hooks result;
+    result.append =
         [this](std::string stream, std::string data, answer_hook<common::log_offset> done) {
             this->append(stream, std::move(data), std::move(done));
         };
-    made.read = [this](
-                    std::string stream,
-                    common::log_offset after,
-                    std::chrono::milliseconds wait,
-                    answer_hook<read_answer> done) {
+    result.read = [this](
+                      std::string stream,
+                      common::log_offset after,
+                      std::chrono::milliseconds wait,
+                      answer_hook<read_answer> done) {
         this->read(stream, after, wait, std::move(done));
     };
-    return made;
+    return result;
 }
 
-auto fake_log::set_faults(log_faults wanted) -> void
+auto fake_log::set_faults(log_faults new_faults) -> void
 {
-    this->current = wanted;
-    if (!wanted.down) {
+    this->current = new_faults;
+    if (!new_faults.down) {
         return;
     }
     for (auto& [name, state] : this->streams) {
--- a/source/core/platform/fake_log.hpp
+++ b/source/core/platform/fake_log.hpp
@@ -39,7 +39,7 @@
     /// The returned hooks refer to this object, which has to outlive them and their timers.
     auto hooks() -> log_hooks;
 
-    auto set_faults(log_faults wanted) -> void;
+    auto set_faults(log_faults new_faults) -> void;
 
     [[nodiscard]] auto faults() const -> const log_faults& { return this->current; }
 
--- a/source/core/platform/fake_platform.cpp
+++ b/source/core/platform/fake_platform.cpp
@@ -22,8 +22,8 @@
 
 auto fake_hosts::hooks() -> host_hooks
 {
-    host_hooks made;
-    made.list = [this](answer_hook<std::vector<host_entry>> done) {
+    host_hooks result;
+    result.list = [this](answer_hook<std::vector<host_entry>> done) {
         this->timers(this->clock(), [this, done = std::move(done)] {
             if (this->down) {
                 done(failure(result_code::platform_unavailable, "the list of hosts is down"));
@@ -32,7 +32,7 @@
             done(this->visible());
         });
     };
-    return made;
+    return result;
 }
 
 auto fake_hosts::put(host_entry entry) -> void
@@ -74,11 +74,11 @@
 
 auto fake_ratings::hooks() -> rating_hooks
 {
-    rating_hooks made;
-    made.submit = [this](common::request_id request, std::string question, std::string answer) {
+    rating_hooks result;
+    result.submit = [this](common::request_id request, std::string question, std::string answer) {
         this->submit({request, std::move(question), std::move(answer)});
     };
-    made.fetch = [this](std::uint64_t since, answer_hook<rating_page> done) {
+    result.fetch = [this](std::uint64_t since, answer_hook<rating_page> done) {
         this->timers(this->clock(), [this, since, done = std::move(done)] {
             if (this->down) {
                 done(failure(result_code::platform_unavailable, "the rating service is down"));
@@ -87,7 +87,7 @@
             done(this->page_after(since));
         });
     };
-    return made;
+    return result;
 }
 
 auto fake_ratings::submit(rated_answer submitted_answer) -> void
@@ -96,11 +96,11 @@
         return;
     }
     ++this->submitted;
-    const auto given = this->score(submitted_answer);
-    if (!given) {
+    const auto score_value = this->score(submitted_answer);
+    if (!score_value) {
         return;
     }
-    const rating delayed_rating{submitted_answer.request, std::clamp(*given, 0.0, 1.0)};
+    const rating delayed_rating{submitted_answer.request, std::clamp(*score_value, 0.0, 1.0)};
     this->timers(this->clock() + this->delay, [this, delayed_rating] {
         this->ratings.push_back(delayed_rating);
     });
--- a/source/core/platform/fake_platform.hpp
+++ b/source/core/platform/fake_platform.hpp
@@ -28,7 +28,7 @@
     auto remove(const common::host_id& host) -> void;
 
     /// Sets the delay until a change is visible in the list.
-    auto set_lag(common::duration wanted) -> void { this->lag = wanted; }
+    auto set_lag(common::duration value) -> void { this->lag = value; }
 
     auto set_down(bool is_down) -> void { this->down = is_down; }
 
@@ -67,7 +67,7 @@
     auto hooks() -> rating_hooks;
 
     /// Sets the time from the submission of an answer to its rating.
-    auto set_delay(common::duration wanted) -> void { this->delay = wanted; }
+    auto set_delay(common::duration value) -> void { this->delay = value; }
 
     auto set_down(bool is_down) -> void { this->down = is_down; }
 
--- a/source/core/platform/http_hosts.cpp
+++ b/source/core/platform/http_hosts.cpp
@@ -78,8 +78,8 @@
 
 auto make_http_hosts(std::shared_ptr<http::client> client, http::endpoint where) -> host_hooks
 {
-    host_hooks made;
-    made.list = [client, where](answer_hook<std::vector<host_entry>> done) {
+    host_hooks hooks;
+    hooks.list = [client, where](answer_hook<std::vector<host_entry>> done) {
         http::request request;
         request.method = "GET";
         request.target = "/hosts";
@@ -89,7 +89,7 @@
         };
         client->send(where, std::move(request), std::move(events));
     };
-    return made;
+    return hooks;
 }
 
 auto format_host(const host_entry& entry) -> std::string
--- a/source/core/platform/http_log.cpp
+++ b/source/core/platform/http_log.cpp
@@ -102,9 +102,9 @@
 
 auto make_http_log(std::shared_ptr<http::client> client, http_log_options options) -> log_hooks
 {
-    log_hooks made;
-    made.append = [client, options](
-                      std::string stream, std::string data, answer_hook<common::log_offset> done) {
+    log_hooks hooks;
+    hooks.append = [client, options](
+                       std::string stream, std::string data, answer_hook<common::log_offset> done) {
         http::request request;
         request.method = "POST";
         request.target = "/log/" + stream + "/append";
@@ -115,11 +115,11 @@
         };
         client->send(options.where, std::move(request), std::move(events));
     };
-    made.read = [client, options](
-                    std::string stream,
-                    common::log_offset after,
-                    std::chrono::milliseconds wait,
-                    answer_hook<read_answer> done) {
+    hooks.read = [client, options](
+                     std::string stream,
+                     common::log_offset after,
+                     std::chrono::milliseconds wait,
+                     answer_hook<read_answer> done) {
         const auto poll_wait = std::min(wait, options.client_idle_timeout / 2);
         http::request request;
         request.method = "GET";
@@ -132,7 +132,7 @@
         };
         client->send(options.where, std::move(request), std::move(events));
     };
-    return made;
+    return hooks;
 }
 
 } // namespace reedramp::platform
--- a/source/core/platform/http_ratings.cpp
+++ b/source/core/platform/http_ratings.cpp
@@ -52,8 +52,9 @@
 
 auto make_http_ratings(std::shared_ptr<http::client> client, http::endpoint where) -> rating_hooks
 {
-    rating_hooks made;
-    made.submit = [client, where](common::request_id id, std::string question, std::string answer) {
+    rating_hooks hooks;
+    hooks.submit = [client,
+                    where](common::request_id id, std::string question, std::string answer) {
         const boost::json::object body{
             {"request", common::to_string(id)},
             {"question", question},
@@ -68,7 +69,7 @@
         };
         client->send(where, std::move(request), std::move(events));
     };
-    made.fetch = [client, where](std::uint64_t since, answer_hook<rating_page> done) {
+    hooks.fetch = [client, where](std::uint64_t since, answer_hook<rating_page> done) {
         http::request request;
         request.method = "GET";
         request.target = "/ratings?since=" + std::to_string(since);
@@ -78,7 +79,7 @@
         };
         client->send(where, std::move(request), std::move(events));
     };
-    return made;
+    return hooks;
 }
 
 } // namespace reedramp::platform
--- a/source/core/platform/http_weights.cpp
+++ b/source/core/platform/http_weights.cpp
@@ -47,11 +47,11 @@
 
 auto make_http_weights(std::shared_ptr<http::client> client, http::endpoint where) -> weight_hooks
 {
-    weight_hooks made;
-    made.fetch = [client, where](
-                     common::version_id version,
-                     std::uint64_t bytes,
-                     answer_hook<weight_answer> done) {
+    weight_hooks hooks;
+    hooks.fetch = [client, where](
+                      common::version_id version,
+                      std::uint64_t bytes,
+                      answer_hook<weight_answer> done) {
         const boost::json::object body{{"version", version.value()}, {"bytes", bytes}};
         http::request request;
         request.method = "POST";
@@ -63,7 +63,7 @@
         };
         client->send(where, std::move(request), std::move(events));
     };
-    return made;
+    return hooks;
 }
 
 } // namespace reedramp::platform
--- a/source/core/policy/option_choice.cpp
+++ b/source/core/policy/option_choice.cpp
@@ -37,18 +37,18 @@
 {
     std::vector<const option*> found;
     for (const auto* candidate : candidates) {
-        const bool undecided =
+        const bool is_undecided =
             candidate->quality.lower < target && candidate->quality.upper >= target;
-        const bool cheaper = candidate->expected_cost < best.expected_cost;
-        const bool best_fails = best.quality.lower < target;
-        if (undecided && candidate != &best && (cheaper || best_fails)) {
+        const bool is_cheaper = candidate->expected_cost < best.expected_cost;
+        const bool best_misses_target = best.quality.lower < target;
+        if (is_undecided && candidate != &best && (is_cheaper || best_misses_target)) {
             found.push_back(candidate);
         }
     }
     return found;
 }
 
-auto cheaper_first(const option* left, const option* right) -> bool
+auto costs_less(const option* left, const option* right) -> bool
 {
     if (left->expected_cost != right->expected_cost) {
         return left->expected_cost < right->expected_cost;
@@ -67,7 +67,7 @@
             return left_meets;
         }
         if (left_meets) {
-            return cheaper_first(left, right);
+            return costs_less(left, right);
         }
         if (left->quality.lower != right->quality.lower) {
             return left->quality.lower > right->quality.lower;
@@ -124,28 +124,28 @@
     }
     sort_by_target(candidates, input.quality_target);
     // Trading quality against cost only makes sense if some option is known to meet the target.
-    const bool reachable = candidates.front()->quality.lower >= input.quality_target;
-    const bool mixes = input.quality_price && reachable;
-    if (mixes) {
+    const bool is_target_reachable = candidates.front()->quality.lower >= input.quality_target;
+    const bool trades_quality = input.quality_price && is_target_reachable;
+    if (trades_quality) {
         sort_by_price(candidates, *input.quality_price);
     }
     const option& best = *candidates.front();
-    choice made{best.key, choice_reason::best_available, std::nullopt};
-    if (mixes) {
-        made.reason = choice_reason::mixed_at_target;
+    choice chosen{best.key, choice_reason::best_available, std::nullopt};
+    if (trades_quality) {
+        chosen.reason = choice_reason::mixed_at_target;
     }
-    else if (reachable) {
-        made.reason = choice_reason::cheapest_at_target;
+    else if (is_target_reachable) {
+        chosen.reason = choice_reason::cheapest_at_target;
     }
     if (candidates.size() > 1) {
-        made.runner_up = candidates[1]->key;
+        chosen.runner_up = candidates[1]->key;
     }
     if (input.chance >= input.explore_share) {
-        return made;
+        return chosen;
     }
     const auto explorable = find_exploration_candidates(candidates, best, input.quality_target);
     if (explorable.empty()) {
-        return made;
+        return chosen;
     }
     const double part = input.chance / input.explore_share;
     const auto index = static_cast<std::size_t>(part * static_cast<double>(explorable.size()));
@@ -156,9 +156,9 @@
 }
 
 auto quality_price_controller::update(
-    const quality_estimate& chosen, double target, common::micro_money dearest) -> void
+    const quality_estimate& chosen, double target, common::micro_money max_cost) -> void
 {
-    const auto scale = static_cast<double>(dearest.value());
+    const auto scale = static_cast<double>(max_cost.value());
     const double highest = price_ceiling * scale;
     if (!this->initialised) {
         // Starts at the maximum price, so that the first requests do not get the lowest quality.
--- a/source/core/policy/option_choice.hpp
+++ b/source/core/policy/option_choice.hpp
@@ -79,9 +79,10 @@
 public:
     [[nodiscard]] auto price() const -> double { return this->current; }
 
-    /// Records a choice that was made by price. `dearest` is the cost of the most expensive option,
-    /// which sets the scale.
-    auto update(const quality_estimate& chosen, double target, common::micro_money dearest) -> void;
+    /// Records a choice that was made by price. `max_cost` is the cost of the most expensive
+    /// option, which sets the scale.
+    auto update(const quality_estimate& chosen, double target, common::micro_money max_cost)
+        -> void;
 
 private:
     double current = 0.0;
--- a/source/core/policy/regression_detector.cpp
+++ b/source/core/policy/regression_detector.cpp
@@ -242,8 +242,8 @@
         found.decision = verdict::worse;
         return found;
     }
-    const bool sure = found.log_for >= -std::log(error_probability);
-    if (sure && found.log_against < max_log_against_for_growth) {
+    const bool is_significant = found.log_for >= -std::log(error_probability);
+    if (is_significant && found.log_against < max_log_against_for_growth) {
         found.decision = verdict::not_worse;
     }
     return found;
--- a/source/core/session/pin.cpp
+++ b/source/core/session/pin.cpp
@@ -119,7 +119,7 @@
 
 auto compute_signature(std::string_view content, const std::string& secret) -> signature
 {
-    signature made{};
+    signature computed{};
     unsigned int length = 0;
     HMAC(
         EVP_sha256(),
@@ -127,9 +127,9 @@
         static_cast<int>(secret.size()),
         reinterpret_cast<const unsigned char*>(content.data()),
         content.size(),
-        made.data(),
+        computed.data(),
         &length);
-    return made;
+    return computed;
 }
 
 auto find_key(const key_ring& ring, key_id id) -> const signing_key*
@@ -189,8 +189,8 @@
     if (!fits) {
         return {};
     }
-    const auto made = compute_signature(bytes, ring.current.secret);
-    bytes.append(reinterpret_cast<const char*>(made.data()), made.size());
+    const auto computed = compute_signature(bytes, ring.current.secret);
+    bytes.append(reinterpret_cast<const char*>(computed.data()), computed.size());
     auto token = encode(bytes);
     if (token.size() > max_token_bytes) {
         return {};
--- a/source/unit_tests/placement/fair_queue_test.cpp
+++ b/source/unit_tests/placement/fair_queue_test.cpp
@@ -22,12 +22,12 @@
     std::uint64_t cost,
     common::time_point deadline = common::never) -> queued_request
 {
-    queued_request made;
-    made.key.request = {0, number};
-    made.organisation = common::organisation_id(organisation);
-    made.cost = common::token_count(cost);
-    made.deadline = deadline;
-    return made;
+    queued_request result;
+    result.key.request = {0, number};
+    result.organisation = common::organisation_id(organisation);
+    result.cost = common::token_count(cost);
+    result.deadline = deadline;
+    return result;
 }
 
 /// One slot with 100 tokens per second: a request of 100 tokens takes a second.
--- a/source/unit_tests/placement/server_selector_test.cpp
+++ b/source/unit_tests/placement/server_selector_test.cpp
@@ -32,24 +32,24 @@
 auto answer(const std::string& server, std::uint32_t in_flight, common::duration wait)
     -> messages::probe_answer
 {
-    messages::probe_answer made;
-    made.server = common::server_id(server);
-    made.serves_version = true;
-    made.in_flight = in_flight;
-    made.estimated_wait = wait;
-    return made;
+    messages::probe_answer result;
+    result.server = common::server_id(server);
+    result.serves_version = true;
+    result.in_flight = in_flight;
+    result.estimated_wait = wait;
+    return result;
 }
 
 auto candidates_of(std::size_t near, std::size_t far = 0) -> std::vector<candidate>
 {
-    std::vector<candidate> made;
+    std::vector<candidate> result;
     for (std::size_t number = 0; number < near + far; ++number) {
         const auto distance =
             number < near ? server_distance::same_region : server_distance::other_region;
-        made.push_back(
+        result.push_back(
             placement::make_candidate(common::server_id("s" + std::to_string(number)), distance));
     }
-    return made;
+    return result;
 }
 
 auto plain_request() -> placement_request
