--- a/source/core/router/barred_records.hpp
+++ b/source/core/router/barred_records.hpp
@@ -12,8 +12,8 @@
 /// would crash as many servers again after all entries were killed at once.
 ///
 /// Each request has one small record. It is written once, by the first entry in rank order that has
-/// not heard in time that another one wrote it. An entry that starts without a neighbour reads the
-/// records together with those of the entries.
+/// not learned in time that another one wrote it. An entry that starts without a neighbour reads
+/// the records together with those of the entries.
 class barred_records : public std::enable_shared_from_this<barred_records> {
 public:
     /// `rank` returns this entry's rank among all. The entry of rank 0 writes at once, and each
--- a/source/core/router/peer_message.cpp
+++ b/source/core/router/peer_report.cpp
@@ -1,4 +1,4 @@
-#include "router/peer_message.hpp"
+#include "router/peer_report.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -41,7 +41,7 @@
     const auto next = [&from, &at](policy::sample_mean& mean) {
         const double value = from[at++];
         const double count = from[at++];
-        // What is no number would stay in every sum.
+        // A value that is not finite would corrupt every sum.
         const bool is_valid = std::isfinite(value) && std::isfinite(count) && count >= 0.0;
         mean = is_valid ? policy::sample_mean{value, count} : policy::sample_mean{};
     };
@@ -218,7 +218,7 @@
     for (const auto load : from.getLoads()) {
         const bool is_valid = std::isfinite(load.getRequests()) && std::isfinite(load.getWork()) &&
                               std::isfinite(load.getReading());
-        // What is no number would stay in every sum.
+        // A value that is not finite would corrupt every sum.
         if (is_valid) {
             report.loads.push_back(
                 {load.getServer(), {load.getRequests(), load.getWork(), load.getReading()}});
--- a/source/core/router/peers.capnp
+++ b/source/core/router/peers.capnp
@@ -1,5 +1,5 @@
 @0xb2a8d1c35f7e4096;
-# Messages between entries, one per datagram. The codec is in peer_message.cpp. Fields are only ever
+# Messages between entries, one per datagram. The codec is in peer_report.cpp. Fields are only ever
 # added, at the end. After a change run tools/generate_wire and commit the generated files.
 
 using Cxx = import "/capnp/c++.capnp";
--- a/source/core/router/relay.cpp
+++ b/source/core/router/relay.cpp
@@ -303,7 +303,7 @@
 
 auto relay::on_process_ends() -> void
 {
-    // Says nothing about the server.
+    // The interruption says nothing about the server.
     this->stop(server_outcome::refused, result_code::shutting_down, result_code::outcome_unknown);
 }
 
@@ -324,7 +324,7 @@
         return;
     }
     if (this->current != nullptr) {
-        // Says nothing about the server.
+        // The interruption says nothing about the server.
         this->abandon(this->current, attempt_end::unknown, server_outcome::refused);
     }
     this->out->abort();
--- a/source/core/router/relay_answers.cpp
+++ b/source/core/router/relay_answers.cpp
@@ -45,8 +45,8 @@
         return verdict::not_executed;
     }
     if (http::find_header(head.headers, "Content-Encoding")) {
-        return verdict::untrusted; // No encoding was requested, so these are not the server's
-                                   // bytes.
+        // No encoding was requested, so these are not the server's bytes.
+        return verdict::untrusted;
     }
     const bool is_signed = http::find_header(head.headers, names.signature).has_value();
     if (is_success(head.status)) {
--- a/source/core/router/rollout_writer.cpp
+++ b/source/core/router/rollout_writer.cpp
@@ -33,8 +33,8 @@
     if (this->due_since == common::never) {
         this->due_since = now;
     }
-    const auto turn = this->due_since + rank_delay * static_cast<int>(this->rank());
-    if (this->is_busy || now < turn || now < this->next_try) {
+    const auto write_at = this->due_since + rank_delay * static_cast<int>(this->rank());
+    if (this->is_busy || now < write_at || now < this->next_try) {
         return;
     }
     this->is_busy = true;
--- a/source/core/router/router_core.cpp
+++ b/source/core/router/router_core.cpp
@@ -86,13 +86,13 @@
 }
 
 auto router_core::apply_barred_report(
-    const routing::barred_report& reports, const std::string& source) -> void
+    const routing::barred_report& report, const std::string& source) -> void
 {
-    if (this->crashes.hear_barred(reports, this->hooks.clock())) {
+    if (this->crashes.hear_barred(report, this->hooks.clock())) {
         common::log(
             common::log_part::place,
             common::log_level::warning,
-            "request barred print=" + to_string(reports.print) + " told_by=" + source);
+            "request barred print=" + to_string(report.print) + " told_by=" + source);
     }
 }
 
@@ -139,13 +139,13 @@
 }
 
 auto router_core::apply_backoff(
-    const routing::server_instance& server, std::chrono::milliseconds rest) -> void
+    const routing::server_instance& server, std::chrono::milliseconds backoff) -> void
 {
     // All entries are refused at the same moment; the random delay spreads their return.
     const auto more =
-        std::min(rest, this->options.return_spread) * common::random_unit(this->hooks.random);
+        std::min(backoff, this->options.return_spread) * common::random_unit(this->hooks.random);
     this->limiter.note_rest(
-        server, this->hooks.clock() + rest + std::chrono::duration_cast<common::duration>(more));
+        server, this->hooks.clock() + backoff + std::chrono::duration_cast<common::duration>(more));
     this->counters.backoffs.add();
 }
 
--- a/source/core/router/router_core.hpp
+++ b/source/core/router/router_core.hpp
@@ -109,14 +109,15 @@
     /// A stream is resumed at another server after a silence of this many times its route's longest
     /// normal pause.
     double stall_pause_factor = 1.5;
-    /// So is a stream that waits for its first event longer than this many times the route's mean
-    /// plus `first_event_patience`. The limit is relative to other streams, since under load all
-    /// wait, and restarted work would add to the load.
+    /// A stream is also sent to another server if it waits for its first event longer than this
+    /// many times the route's mean, plus `first_event_patience`. The limit is relative to other
+    /// streams, since under load all wait, and restarted work would add to the load.
     double first_event_factor = 5.0;
     std::chrono::milliseconds first_event_patience{700};
-    /// The limit is at least this many times the duration of the work before its first event at the
-    /// servers of its service. The largest prompts take the largest model seconds to process; with
-    /// the limit of short ones, each was started at three servers and finished at none.
+    /// If longer, this many times the usual duration of the work before its first event, at the
+    /// servers of its service, replaces the route's mean times its factor. The largest prompts take
+    /// the largest model seconds to process; with the limit of short ones, each was started at
+    /// three servers and finished at none.
     double first_event_work_factor = 3.0;
 };
 
@@ -161,7 +162,8 @@
     /// Era of the store; 0 before one is known, and for a store without eras.
     [[nodiscard]] auto era() const -> std::uint64_t { return this->store_era.value_or(0); }
 
-    /// Puts rules in force unless the present ones are as new. Returns whether they were new.
+    /// Puts rules in force unless their version is in force already, or an older one. Returns
+    /// whether they were new.
     auto apply_rules(published_rules rules) -> bool;
 
     /// Whether requests can be served: rules, servers and barred requests are known.
@@ -219,7 +221,7 @@
     auto end_all_requests() -> void;
 
     /// Applies a barred request reported by another entry or read from the store.
-    auto apply_barred_report(const routing::barred_report& reports, const std::string& source)
+    auto apply_barred_report(const routing::barred_report& report, const std::string& source)
         -> void;
 
     /// Applies the limit that a server stated in its response to the attempt, or that it states
@@ -232,8 +234,8 @@
     /// Applies a server's statement in its response to the attempt that it leaves.
     auto apply_leaving(const routing::server_instance& server, const std::string& attempt) -> void;
 
-    /// Applies a server's request that this entry send nothing for `rest`.
-    auto apply_backoff(const routing::server_instance& server, std::chrono::milliseconds rest)
+    /// Applies a server's request that this entry send nothing for `backoff`.
+    auto apply_backoff(const routing::server_instance& server, std::chrono::milliseconds backoff)
         -> void;
 
     /// Applies limits that a peer has read in servers' responses.
--- a/source/core/router/servers_list.cpp
+++ b/source/core/router/servers_list.cpp
@@ -286,8 +286,8 @@
     };
     this->core->health.forget_if(is_gone);
     this->core->limiter.forget_if(is_gone, now);
-    for (auto& [service, paces] : this->core->speeds) {
-        paces.forget_if(is_gone);
+    for (auto& [service, speeds] : this->core->speeds) {
+        speeds.forget_if(is_gone);
     }
 }
 
--- a/source/router/peer_group.hpp
+++ b/source/router/peer_group.hpp
@@ -9,7 +9,7 @@
 
 #include "http/message.hpp"
 #include "router/list_broadcaster.hpp"
-#include "router/peer_message.hpp"
+#include "router/peer_report.hpp"
 #include "router/router_core.hpp"
 #include "router/servers_follower.hpp"
 #include "router/shared_store.hpp"
--- a/source/router/state_page.cpp
+++ b/source/router/state_page.cpp
@@ -57,10 +57,10 @@
     for (const auto& reader : peers.readers()) {
         readers.emplace_back(reader.value());
     }
-    const auto told = core.freshness.tell(now);
+    const auto freshness = core.freshness.tell(now);
     return {
         {"read_to", core.freshness.read_to()},
-        {"age_ms", told.age.count()},
+        {"age_ms", freshness.age.count()},
         {"told_by", list_updates.source()},
         {"lacks_change", core.freshness.lacks_change()},
         {"readers", std::move(readers)},
--- a/source/unit_tests/router/backoff_test.cpp
+++ b/source/unit_tests/router/backoff_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr seconds backoff_time{3};
 /// Requests in transit when a server asks for a backoff.
-constexpr milliseconds on_the_way{500};
+constexpr milliseconds in_transit_time{500};
 constexpr std::size_t max_during_backoff = 2;
 
 auto refusal() -> server_response
@@ -36,15 +36,16 @@
 auto most_during_backoff(const response_simulation& simulation) -> std::size_t
 {
     std::size_t most = 0;
-    for (const auto& asked : simulation.responses) {
-        if (asked.status != 503) {
+    for (const auto& refused : simulation.responses) {
+        if (refused.status != 503) {
             continue;
         }
-        const auto came = std::ranges::count_if(simulation.arrivals, [&asked](const arrival& one) {
-            return one.entry == asked.of.entry && one.server == asked.of.server &&
-                   one.at > asked.at + on_the_way && one.at < asked.at + backoff_time;
-        });
-        most = std::max(most, static_cast<std::size_t>(came));
+        const auto count =
+            std::ranges::count_if(simulation.arrivals, [&refused](const arrival& one) {
+                return one.entry == refused.of.entry && one.server == refused.of.server &&
+                       one.at > refused.at + in_transit_time && one.at < refused.at + backoff_time;
+            });
+        most = std::max(most, static_cast<std::size_t>(count));
     }
     return most;
 }
@@ -90,8 +91,9 @@
                 simulation.responses, std::uint16_t{503}, &received_response::status));
             // One server refuses a third of the entries and serves the others.
             response_simulation one{{.entries = entries, .loss = 0.02, .seed = seed}};
-            one.respond = [](const arrival& came) {
-                return came.server == "s-0" && came.entry % 3 == 0 ? refusal() : server_response{};
+            one.respond = [](const arrival& count) {
+                return count.server == "s-0" && count.entry % 3 == 0 ? refusal()
+                                                                     : server_response{};
             };
             const auto begin = one.now();
             one.run(seconds{12});
@@ -109,11 +111,11 @@
     simulation.run(seconds{2});
     refuse_at(simulation, {"s-0", "s-1", "s-2", "s-3"});
     simulation.run(seconds{1});
-    const auto asked = simulation.callers.size();
+    const auto first_index = simulation.callers.size();
     simulation.run(milliseconds{500});
-    REQUIRE(simulation.callers.size() > asked);
+    REQUIRE(simulation.callers.size() > first_index);
     // Requests from before the last ten milliseconds have their response.
-    for (std::size_t i = asked; i + 2 < simulation.callers.size(); ++i) {
+    for (std::size_t i = first_index; i + 2 < simulation.callers.size(); ++i) {
         const auto& one = *simulation.callers[i];
         REQUIRE(one.status() == 503);
         CHECK(retry_after(one) >= 1.0);
--- a/source/unit_tests/router/crash_simulation.cpp
+++ b/source/unit_tests/router/crash_simulation.cpp
@@ -21,9 +21,12 @@
 
 } // namespace
 
-crash_simulation::crash_simulation(const crash_simulation_options& wanted)
-    : fleet({.entries = wanted.entries, .loss = wanted.loss, .seed = wanted.seed}),
-      random(wanted.seed), options(wanted), collected(wanted.entries, 0)
+crash_simulation::crash_simulation(const crash_simulation_options& initial_options)
+    : fleet(
+          {.entries = initial_options.entries,
+           .loss = initial_options.loss,
+           .seed = initial_options.seed}),
+      random(initial_options.seed), options(initial_options), collected(initial_options.entries, 0)
 {
     this->fleet.listens = [this](const common::server_id& server) {
         return this->alive.contains(server.value());
@@ -31,7 +34,7 @@
     for (const auto* server : {"a", "b", "c", "d"}) {
         this->fleet.remove(server);
     }
-    for (std::size_t i = 0; i < wanted.servers; ++i) {
+    for (std::size_t i = 0; i < initial_options.servers; ++i) {
         this->started += 1;
         this->start_server("s-" + std::to_string(this->started));
     }
@@ -67,7 +70,7 @@
         headers.push_back(item);
     }
     auto out = this->fleet.entries[entry]->own.ask(how.path, std::move(headers), body);
-    this->asked.push_back({entry, attempt, body, out});
+    this->requests.push_back({entry, attempt, body, out});
     return out;
 }
 
--- a/source/unit_tests/router/crash_simulation.hpp
+++ b/source/unit_tests/router/crash_simulation.hpp
@@ -91,7 +91,7 @@
     [[nodiscard]] auto now() const -> common::time_point;
 
     entry_fleet fleet;
-    std::vector<simulated_request> asked;
+    std::vector<simulated_request> requests;
     std::vector<simulated_send> sends;
     std::mt19937_64 random;
 
--- a/source/unit_tests/router/crash_test.cpp
+++ b/source/unit_tests/router/crash_test.cpp
@@ -19,7 +19,7 @@
 auto refused(const crash_simulation& simulation, bool crashing) -> std::size_t
 {
     return static_cast<std::size_t>(
-        std::ranges::count_if(simulation.asked, [crashing](const simulated_request& one) {
+        std::ranges::count_if(simulation.requests, [crashing](const simulated_request& one) {
             const bool is_crashing = one.body.starts_with(crash_simulation::crashing_body(""));
             return is_crashing == crashing && one.out->answer &&
                    one.out->answer->body.find("ends_servers") != std::string::npos;
@@ -32,7 +32,7 @@
     constexpr milliseconds between{50};
     for (auto played = milliseconds{0}; played < time; played += between) {
         for (std::size_t i = 0; i < at_once; ++i) {
-            simulation.ask_random_entry("harmless " + std::to_string(simulation.asked.size()));
+            simulation.ask_random_entry("harmless " + std::to_string(simulation.requests.size()));
         }
         simulation.run(between);
     }
@@ -183,7 +183,7 @@
         CHECK(http::find_header(last->answer->headers, "Retry-After") == "600.000");
         CHECK(simulation.arrivals_after(body, simulation.third_crash(body) + contact) <= max_late);
         // A request that has run, or may have, is not reported as not run.
-        for (const auto& one : simulation.asked) {
+        for (const auto& one : simulation.requests) {
             const bool has_run =
                 std::ranges::any_of(simulation.sends, [&](const simulated_send& send) {
                     return send.body == body && send.attempt == one.attempt;
@@ -212,7 +212,7 @@
     CHECK(simulation.ask(3, body, {.key = "key-2"})->status() == 503);
 }
 
-/// Totals over many seeds, by hand.
+/// Run by hand: totals over many seeds.
 TEST_CASE("a request that crashes servers among harmless ones, over many seeds", "[.crash_seeds]")
 {
     constexpr std::uint64_t seeds = 75;
@@ -248,7 +248,7 @@
     }
 }
 
-/// Totals over many seeds, by hand.
+/// Run by hand: totals over many seeds.
 TEST_CASE(
     "harmless requests while servers crash for other reasons, over many seeds", "[.crash_seeds]")
 {
@@ -283,7 +283,7 @@
          }}};
     for (const auto& one : faults) {
         std::size_t barred = 0;
-        std::size_t asked = 0;
+        std::size_t requests = 0;
         for (std::uint64_t seed = 1; seed <= 75; ++seed) {
             crash_simulation simulation{
                 {.entries = seed % 3 == 0 ? 26U : 4U,
@@ -295,10 +295,10 @@
                 one.apply(simulation, round);
             }
             barred += refused(simulation, false);
-            asked += simulation.asked.size();
+            requests += simulation.requests.size();
         }
         std::cout << "METRIC harmless_refused_" << one.name << " " << barred << " requests of "
-                  << asked << "\n";
+                  << requests << "\n";
         CHECK(barred == 0);
     }
 }
@@ -309,13 +309,14 @@
 {
     const auto served = [](const crash_simulation& simulation) {
         const auto count =
-            std::ranges::count_if(simulation.asked, [](const simulated_request& one) {
+            std::ranges::count_if(simulation.requests, [](const simulated_request& one) {
                 return !one.body.starts_with(crash_simulation::crashing_body("")) &&
                        one.out->is_finished;
             });
-        const auto all = std::ranges::count_if(simulation.asked, [](const simulated_request& one) {
-            return !one.body.starts_with(crash_simulation::crashing_body(""));
-        });
+        const auto all =
+            std::ranges::count_if(simulation.requests, [](const simulated_request& one) {
+                return !one.body.starts_with(crash_simulation::crashing_body(""));
+            });
         return static_cast<double>(count) / static_cast<double>(all);
     };
     double with = 0.0;
--- a/source/unit_tests/router/entry_fleet.cpp
+++ b/source/unit_tests/router/entry_fleet.cpp
@@ -15,7 +15,8 @@
 
 } // namespace
 
-entry_fleet::entry_fleet(const fleet_options& wanted) : options(wanted), random(wanted.seed)
+entry_fleet::entry_fleet(const fleet_options& initial_options)
+    : options(initial_options), random(initial_options.seed)
 {
     for (const auto* server : {"a", "b", "c", "d"}) {
         this->write(server);
@@ -154,11 +155,11 @@
         [&one] { one.peers->broadcast_urgent(); });
 }
 
-auto entry_fleet::orders_from(const waiting_reader& asked, bool is_first) const
+auto entry_fleet::orders_from(const waiting_reader& reader, bool is_first) const
     -> common::result<stream_reading<rules_document>>
 {
     const auto end = stream_position::at(this->orders_era, this->orders.size());
-    if (asked.by->is_refused_by_store) {
+    if (reader.by->is_refused_by_store) {
         return common::failure(common::result_code::log_unavailable);
     }
     stream_reading<rules_document> reading{{}, end, is_first};
@@ -170,29 +171,29 @@
         }
         return reading;
     }
-    const bool is_gone = asked.from.era() != this->orders_era || asked.from > end ||
-                         asked.from.offset() < this->orders_trimmed_to;
+    const bool is_gone = reader.from.era() != this->orders_era || reader.from > end ||
+                         reader.from.offset() < this->orders_trimmed_to;
     if (is_gone) {
         return common::failure(common::result_code::log_trimmed);
     }
-    for (auto i = asked.from.offset(); i < end.offset(); ++i) {
+    for (auto i = reader.from.offset(); i < end.offset(); ++i) {
         reading.documents.emplace_back(this->orders[i]);
     }
     return reading;
 }
 
-auto entry_fleet::read_rules(waiting_reader asked, bool is_first) -> void
+auto entry_fleet::read_rules(waiting_reader reader, bool is_first) -> void
 {
-    auto reading = this->orders_from(asked, is_first);
+    auto reading = this->orders_from(reader, is_first);
     const bool waits =
-        reading && !is_first && reading->documents.empty() && this->now < asked.until;
+        reading && !is_first && reading->documents.empty() && this->now < reader.until;
     if (waits) {
-        this->waiting.push_back(std::move(asked));
+        this->waiting.push_back(std::move(reader));
         return;
     }
     this->answers.emplace(
         this->now + call_time,
-        [by = asked.by, reading = std::move(reading), done = std::move(asked.done)] {
+        [by = reader.by, reading = std::move(reading), done = std::move(reader.done)] {
             if (!by->is_dead) {
                 done(reading);
             }
@@ -231,7 +232,7 @@
     }
 }
 
-auto entry_fleet::living() const -> std::size_t
+auto entry_fleet::live_count() const -> std::size_t
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         this->entries, [](const auto& one) { return !one->is_dead && !one->is_frozen; }));
@@ -251,7 +252,7 @@
     -> milliseconds
 {
     const auto began = this->now;
-    while (this->count_evacuated_at(data_centre) != (all ? this->living() : 0) &&
+    while (this->count_evacuated_at(data_centre) != (all ? this->live_count() : 0) &&
            this->now - began < limit) {
         this->step();
     }
--- a/source/unit_tests/router/entry_fleet.hpp
+++ b/source/unit_tests/router/entry_fleet.hpp
@@ -75,7 +75,7 @@
     [[nodiscard]] auto count_evacuated_at(const std::string& data_centre) const -> std::size_t;
 
     /// Number of live entries.
-    [[nodiscard]] auto living() const -> std::size_t;
+    [[nodiscard]] auto live_count() const -> std::size_t;
 
     /// Runs until the data centre is evacuated at all live entries, or at none. Returns how long
     /// that took.
@@ -130,8 +130,8 @@
     auto make_rules(entry& one) -> void;
     /// Gives the entry its rank among all and a clock offset.
     auto set_send_slots(entry& one) -> void;
-    auto read_rules(waiting_reader asked, bool is_first) -> void;
-    [[nodiscard]] auto orders_from(const waiting_reader& asked, bool is_first) const
+    auto read_rules(waiting_reader reader, bool is_first) -> void;
+    [[nodiscard]] auto orders_from(const waiting_reader& reader, bool is_first) const
         -> common::result<stream_reading<rules_document>>;
     auto answer_waiting() -> void;
     auto store_of(entry& of) -> shared_store;
--- a/source/unit_tests/router/evacuation_test.cpp
+++ b/source/unit_tests/router/evacuation_test.cpp
@@ -145,7 +145,7 @@
     fleet.run(seconds{1});
     fleet.restore_older_orders(1);
     CHECK(fleet.time_until_evacuated("dc-0", false, long_time) < seconds{2});
-    // The operators write it again.
+    // The operators order it again.
     fleet.evacuate("dc-0");
     CHECK(fleet.time_until_evacuated("dc-0", true, long_time) <= known_within);
 }
--- a/source/unit_tests/router/followers_test.cpp
+++ b/source/unit_tests/router/followers_test.cpp
@@ -298,9 +298,9 @@
     follow_servers(fixture, store, {"a", "b"});
     fixture.advance(milliseconds{1100});
     queued_store::next_call(store.servers).second(fails<change>(result_code::log_trimmed));
-    const auto anew = queued_store::next_call(store.servers);
-    CHECK_FALSE(anew.first);
-    anew.second(reading<change>({make_registration_change("a")}, 9, true));
+    const auto whole = queued_store::next_call(store.servers);
+    CHECK_FALSE(whole.first);
+    whole.second(reading<change>({make_registration_change("a")}, 9, true));
     CHECK(fixture.core->servers.find(common::server_id{"a"}) != nullptr);
     CHECK(fixture.core->servers.find(common::server_id{"b"}) == nullptr);
 }
--- a/source/unit_tests/router/list_sharing_test.cpp
+++ b/source/unit_tests/router/list_sharing_test.cpp
@@ -124,8 +124,8 @@
     reader.is_frozen = false;
     fleet.run(milliseconds{10});
     reader.list->apply_reading(old, asked_at);
-    const auto told = reader.own.core->freshness.tell(reader.own.now);
-    CHECK(told.age >= milliseconds{500});
+    const auto freshness = reader.own.core->freshness.tell(reader.own.now);
+    CHECK(freshness.age >= milliseconds{500});
     fleet.write("a", true);
     CHECK(fleet.time_until_unused("a", drain_time) <= usual_time);
 }
--- a/source/unit_tests/router/peer_group_test.cpp
+++ b/source/unit_tests/router/peer_group_test.cpp
@@ -205,7 +205,7 @@
     recording_entry other{others, 2};
     one.group.add(address_of(2));
     other.group.add(address_of(1));
-    const auto tell = [&one, &other] {
+    const auto exchange_reports = [&one, &other] {
         other.sent.clear();
         other.group.send_reports();
         one.group.receive(other.sent.front().second);
@@ -219,11 +219,11 @@
         // A copy, since the response ends with the caller here.
         return std::string{http::find_header(out->answer->headers, "Retry-After").value_or("")};
     };
-    tell();
+    exchange_reports();
     fixture.core->announce_end(fixture.now + milliseconds{1000});
     CHECK(refused_for() == "0.250");
     others.core->announce_end(others.now + milliseconds{3000});
-    tell();
+    exchange_reports();
     CHECK(refused_for() == "3.000");
 }
 
--- a/source/unit_tests/router/peer_message_test.cpp
+++ b/source/unit_tests/router/peer_report_test.cpp
@@ -1,5 +1,5 @@
 #include "router/crash_update.hpp"
-#include "router/peer_message.hpp"
+#include "router/peer_report.hpp"
 
 #include <iostream>
 #include <random>
--- a/source/unit_tests/router/response_simulation.cpp
+++ b/source/unit_tests/router/response_simulation.cpp
@@ -15,15 +15,18 @@
 
 } // namespace
 
-response_simulation::response_simulation(const response_simulation_options& wanted)
-    : fleet({.entries = wanted.entries, .loss = wanted.loss, .seed = wanted.seed}),
-      random(wanted.seed), options(wanted), collected(wanted.entries, 0),
-      processes(wanted.entries, 0)
+response_simulation::response_simulation(const response_simulation_options& initial_options)
+    : fleet(
+          {.entries = initial_options.entries,
+           .loss = initial_options.loss,
+           .seed = initial_options.seed}),
+      random(initial_options.seed), options(initial_options), collected(initial_options.entries, 0),
+      processes(initial_options.entries, 0)
 {
     for (const auto* server : {"a", "b", "c", "d"}) {
         this->fleet.remove(server);
     }
-    for (std::size_t i = 0; i < wanted.servers; ++i) {
+    for (std::size_t i = 0; i < initial_options.servers; ++i) {
         this->fleet.write(this->server_name(i));
     }
     this->fleet.run(entries_settle);
--- a/source/unit_tests/router/stated_limits_test.cpp
+++ b/source/unit_tests/router/stated_limits_test.cpp
@@ -17,7 +17,7 @@
 /// Time from the first response that states a limit until it must be observed.
 constexpr seconds contact{3};
 /// Responses more recent than this bind no entry yet.
-constexpr milliseconds on_the_way{500};
+constexpr milliseconds in_transit_time{500};
 constexpr milliseconds window{4000};
 
 /// Requests that a server with this limit can serve in about four seconds.
@@ -49,7 +49,7 @@
     -> std::size_t
 {
     return simulation.most_within(server, window, stated_at + contact, [&](const arrival& one) {
-        return simulation.had_response(one, one.at - on_the_way);
+        return simulation.had_response(one, one.at - in_transit_time);
     });
 }
 
