--- a/source/entry/entry_process.cpp
+++ b/source/entry/entry_process.cpp
@@ -102,7 +102,7 @@
     options.idle_timeout = this->settings.log_timeout;
     platform::http_log_options where;
     where.where = this->settings.log;
-    where.longest_wait = this->settings.log_timeout;
+    where.client_idle_timeout = this->settings.log_timeout;
     this->log =
         platform::make_http_log(http::client::create(this->threads.next_context(), options), where);
     this->ratings = platform::make_http_ratings(
@@ -181,7 +181,7 @@
 auto entry_process::make_bills() -> void
 {
     billing::collector_config config;
-    config.full_bytes = this->settings.pending_bills_limit_bytes;
+    config.max_pending_bytes = this->settings.pending_bills_limit_bytes;
     billing::collector_hooks hooks;
     hooks.log = this->log;
     hooks.now = daemon::boot_time;
