--- a/source/core/inventory/checkpoint.cpp
+++ b/source/core/inventory/checkpoint.cpp
@@ -30,7 +30,7 @@
 
 auto format_checkpoint(const state& current) -> std::string
 {
-    // The state is put in as text, since the digest needs that text anyway.
+    // The state is inserted as text, since the digest needs that text anyway.
     const auto content = state_text(current);
     std::string text(prefix);
     text += R"({"digest":")" + sha256_hex(content) + R"(","state":)";
--- a/source/core/inventory/checkpoint.hpp
+++ b/source/core/inventory/checkpoint.hpp
@@ -8,19 +8,19 @@
 
 namespace reedramp::inventory {
 
-/// SHA-256 of the state's canonical text, as lower-case hexadecimal digits. Equal log prefixes give
-/// equal digests, whatever way the records came.
+/// SHA-256 of the state's canonical text, in lower-case hexadecimal digits. Equal log prefixes have
+/// equal digests, whether the records came from the log or from peers.
 auto digest(const state& current) -> std::string;
 
-/// A record with the whole state and its digest. It goes into the log, and to peers that lack more
-/// records than a process holds.
+/// Formats a record with the whole state and its digest. It is appended to the log, and sent to
+/// peers that lack more records than this process keeps.
 auto format_checkpoint(const state& current) -> std::string;
 
-/// True if the text claims to be a checkpoint, sound or not.
+/// Whether the text has the form of a checkpoint, valid or not.
 auto looks_like_checkpoint(std::string_view text) -> bool;
 
-/// Reads a checkpoint and checks the digest against what was read, so that a torn or altered one is
-/// never taken. Errors: `bad_checkpoint`.
+/// Parses a checkpoint and verifies its digest, so that a truncated or altered one is never used.
+/// The error is `bad_checkpoint`.
 auto parse_checkpoint(std::string_view text) -> common::result<state>;
 
 } // namespace reedramp::inventory
--- a/source/core/inventory/checkpoint_scan.cpp
+++ b/source/core/inventory/checkpoint_scan.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Past every offset that a log reaches.
-constexpr common::log_offset far_offset{std::uint64_t{1} << 62U};
+/// An offset greater than that of any record.
+constexpr common::log_offset offset_past_head{std::uint64_t{1} << 62U};
 
 constexpr std::uint64_t window_growth = 4;
 
@@ -24,20 +24,20 @@
 
 auto checkpoint_scan::next_read() const -> common::log_offset
 {
-    return this->has_bounds ? this->cursor : far_offset;
+    return this->has_bounds ? this->cursor : offset_past_head;
 }
 
-auto checkpoint_scan::take(const platform::read_answer& answer) -> scan_step
+auto checkpoint_scan::apply_answer(const platform::read_answer& answer) -> scan_step
 {
     if (!this->has_bounds) {
-        this->take_bounds(answer);
+        this->set_bounds(answer);
         return this->head == common::log_offset{} ? scan_step::found : scan_step::reading;
     }
     if (answer.head < this->cursor) {
         return scan_step::behind;
     }
     for (const auto& item : answer.records) {
-        this->take_record(item);
+        this->apply_record(item);
     }
     const auto is_at_head = this->cursor >= answer.head;
     if (!is_at_head) {
@@ -54,12 +54,12 @@
     return scan_step::reading;
 }
 
-auto checkpoint_scan::take_found() -> state
+auto checkpoint_scan::take_state() -> state
 {
     return std::exchange(this->candidate, std::nullopt).value_or(state{});
 }
 
-auto checkpoint_scan::take_bounds(const platform::read_answer& answer) -> void
+auto checkpoint_scan::set_bounds(const platform::read_answer& answer) -> void
 {
     this->has_bounds = true;
     this->head = answer.head;
@@ -73,15 +73,15 @@
     const auto wanted = last > this->window ? last - this->window : 0;
     this->start = std::max(this->floor, common::log_offset{wanted});
     this->cursor = this->start;
-    this->waiting.clear();
+    this->buffered.clear();
     this->candidate.reset();
     if (this->start == common::log_offset{}) {
-        // Nothing comes before the window, so its records are the whole state.
+        // No record precedes the window, so its records make up the whole state.
         this->candidate.emplace();
     }
 }
 
-auto checkpoint_scan::take_record(const messages::log_record& item) -> void
+auto checkpoint_scan::apply_record(const messages::log_record& item) -> void
 {
     if (item.offset <= this->cursor) {
         return;
@@ -92,29 +92,29 @@
     }
     if (this->candidate) {
         const auto outcome = apply(*this->candidate, item);
-        this->bad += outcome.code == common::result_code::bad_checkpoint ? 1 : 0;
+        this->bad_count += outcome.code == common::result_code::bad_checkpoint ? 1 : 0;
         return;
     }
-    this->waiting.push_back(item);
+    this->buffered.push_back(item);
 }
 
 auto checkpoint_scan::try_checkpoint(const messages::log_record& item) -> void
 {
     auto sound = parse_checkpoint(item.data);
     if (!sound) {
-        // Counted when it is folded, which refuses it in all processes alike.
+        // Counted when it is folded, which refuses it in all processes.
         return;
     }
-    // One from before the window would need records that were not read.
+    // A checkpoint of a state before the window would need records that were not read.
     if (sound->offset < this->start || sound->offset >= item.offset) {
         return;
     }
     this->candidate = std::move(*sound);
-    for (const auto& earlier : this->waiting) {
+    for (const auto& earlier : this->buffered) {
         const auto outcome = apply(*this->candidate, earlier);
-        this->bad += outcome.code == common::result_code::bad_checkpoint ? 1 : 0;
+        this->bad_count += outcome.code == common::result_code::bad_checkpoint ? 1 : 0;
     }
-    this->waiting.clear();
+    this->buffered.clear();
 }
 
 } // namespace reedramp::inventory
--- a/source/core/inventory/consistency.cpp
+++ b/source/core/inventory/consistency.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Empty if there is no problem.
+/// Description of a problem; empty if there is none.
 using problem = std::string;
 
 template <typename Map, typename Ids>
-auto missing(const Map& items, const Ids& ids, std::string_view kind) -> problem
+auto find_missing(const Map& items, const Ids& ids, std::string_view kind) -> problem
 {
     for (const auto& id : ids) {
         if (!items.contains(id)) {
@@ -25,7 +25,7 @@
 }
 
 template <typename Items, typename Value>
-auto holds(const Items& items, const Value& value) -> bool
+auto contains(const Items& items, const Value& value) -> bool
 {
     return std::ranges::find(items, value) != items.end();
 }
@@ -42,8 +42,8 @@
     return first == found.end() ? problem{} : *first;
 }
 
-/// Checks each kind of entity against the state that holds it already.
-struct put_check {
+/// Checks an entity of any kind against the state, which contains it already.
+struct entity_check {
     const state& current;
     /// The entity before the record; null if it is new.
     const entity* old;
@@ -58,15 +58,15 @@
         if (was != nullptr && was->model != item.model) {
             return "its model cannot change; sessions are pinned to it";
         }
-        return missing(this->current.models, std::array{item.model}, "model");
+        return find_missing(this->current.models, std::array{item.model}, "model");
     }
 
     auto operator()(const backend_server& item) const -> problem
     {
         if (item.kind == server_kind::service) {
-            return missing(this->current.services, std::array{item.service}, "service");
+            return find_missing(this->current.services, std::array{item.service}, "service");
         }
-        return missing(this->current.versions, item.versions, "version");
+        return find_missing(this->current.versions, item.versions, "version");
     }
 
     auto operator()(const organisation& item) const -> problem
@@ -76,9 +76,9 @@
             return "it shares an API key with organisation " + shared;
         }
         return first_of(
-            {missing(this->current.models, item.models, "model"),
-             missing(this->current.versions, item.versions, "version"),
-             missing(this->current.services, item.services, "service")});
+            {find_missing(this->current.models, item.models, "model"),
+             find_missing(this->current.versions, item.versions, "version"),
+             find_missing(this->current.services, item.services, "service")});
     }
 
     auto owner_of_shared_key(const organisation& item) const -> std::string
@@ -86,7 +86,7 @@
         for (const auto& [id, other] : this->current.organisations) {
             const auto& taken = other.key_hashes;
             const auto is_taken = [&taken](const auto& hash) {
-                return holds(taken, hash);
+                return contains(taken, hash);
             };
             if (id != item.id && std::ranges::any_of(item.key_hashes, is_taken)) {
                 return id.value();
@@ -124,7 +124,7 @@
         }
     }
     for (const auto& [name, item] : current.organisations) {
-        if (holds(item.models, id)) {
+        if (contains(item.models, id)) {
             return "organisation " + name.value();
         }
     }
@@ -134,12 +134,12 @@
 auto user_of_version(const state& current, const common::version_id& id) -> problem
 {
     for (const auto& [name, item] : current.servers) {
-        if (holds(item.versions, id)) {
+        if (contains(item.versions, id)) {
             return "server " + name.value();
         }
     }
     for (const auto& [name, item] : current.organisations) {
-        if (holds(item.versions, id)) {
+        if (contains(item.versions, id)) {
             return "organisation " + name.value();
         }
     }
@@ -159,7 +159,7 @@
         }
     }
     for (const auto& [id, item] : current.organisations) {
-        if (holds(item.services, name)) {
+        if (contains(item.services, name)) {
             return "organisation " + id.value();
         }
     }
@@ -183,8 +183,9 @@
     return {};
 }
 
-/// A withdrawn version never returns, neither by a new put nor as the target of a roll-out.
-auto withdrawn_again(const state& current, const entity& item) -> problem
+/// Returns the withdrawn version that the entity would put into use again, or empty if there is
+/// none. A withdrawn version may neither be put nor be the target of an open roll-out.
+auto find_withdrawn(const state& current, const entity& item) -> problem
 {
     const auto* put_version = std::get_if<version>(&item);
     if (put_version != nullptr && current.withdrawn.contains(put_version->id)) {
@@ -198,7 +199,7 @@
     return {};
 }
 
-auto check_gone(const state& current, const entity_ref& ref, const std::optional<entity>& old)
+auto check_removal(const state& current, const entity_ref& ref, const std::optional<entity>& old)
     -> common::result<void>
 {
     const auto name = to_string(ref);
@@ -221,17 +222,17 @@
     for (const auto& [ref, old] : before) {
         const auto now = get_entity(current, ref);
         if (!now) {
-            auto checked = check_gone(current, ref, old);
+            auto checked = check_removal(current, ref, old);
             if (!checked) {
                 return checked;
             }
             continue;
         }
-        const auto again = withdrawn_again(current, *now);
+        const auto again = find_withdrawn(current, *now);
         if (!again.empty()) {
             return failure(result_code::version_withdrawn, "version " + again + " is withdrawn");
         }
-        const auto found = std::visit(put_check{current, old ? &*old : nullptr}, *now);
+        const auto found = std::visit(entity_check{current, old ? &*old : nullptr}, *now);
         if (!found.empty()) {
             return failure(result_code::invalid_record, to_string(ref) + ": " + found);
         }
--- a/source/core/inventory/entities.hpp
+++ b/source/core/inventory/entities.hpp
@@ -8,16 +8,16 @@
 #include "common/ids.hpp"
 #include "common/units.hpp"
 
-/// Models, versions, backend servers, organisations and rules: what operators publish, and the fold
-/// of the log's records into the configuration in force.
+/// The configuration that operators publish (models, versions, backend servers, services,
+/// organisations, roll-outs), and the fold of the log's records into the state in force.
 ///
-/// Entities hold integers only. A decimal fraction may change in its last digit when it is written
-/// to a checkpoint and read back, and then two processes would disagree about the state's digest.
+/// Entities hold only integers. A floating-point number may change in its last digit when it is
+/// written to a checkpoint and read back, and the digests of two processes would then differ.
 namespace reedramp::inventory {
 
 enum class entity_kind : std::uint8_t { model, version, server, service, organisation, rollout };
 
-/// Names one entity of any kind.
+/// Identifies an entity by its kind and id.
 struct entity_ref {
     entity_kind kind = entity_kind::model;
     std::string id;
@@ -25,28 +25,27 @@
     auto operator<=>(const entity_ref&) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-/// What callers ask for by name; its versions do the work.
+/// A model that callers request by name; its versions serve the requests.
 struct model {
     common::model_id id;
-    /// Offset of the record that changed this entity last; all entities carry it.
+    /// Offset of the last record that changed the entity; every kind of entity has this field.
     common::log_offset changed;
 
     auto operator==(const model&) const -> bool = default;
 };
 
-/// As given by operators; `rules::stage_of` also looks at roll-outs and withdrawals.
+/// Stage set by operators; `rules::stage_of` also considers roll-outs and withdrawals.
 enum class version_stage : std::uint8_t { stable, rollout, withdrawn };
 
-/// Whether a version takes new work while the process can't know that its configuration is current.
+/// Whether a version takes new work while the configuration isn't known to be current.
 enum class stale_rule : std::uint8_t {
-    /// Refuse if the version is being rolled out or is sensitive, else serve.
+    /// Refuse if the version is being rolled out or is sensitive; serve otherwise.
     by_stage,
     serve,
     refuse,
 };
 
-/// What is believed of a version's quality before any rating: as if `weight` ratings with this mean
-/// had been seen.
+/// Prior of a version's quality before any rating: equivalent to `weight` ratings with this mean.
 struct quality_prior {
     common::permille mean{500};
     std::uint32_t weight = 1;
@@ -57,10 +56,10 @@
 struct version {
     common::version_id id;
     common::model_id model;
-    /// Prices of one million tokens.
+    /// Prices per million tokens.
     common::micro_money prompt_price;
     common::micro_money completion_price;
-    /// `stable` or `rollout`; a withdrawal is kept in `state::withdrawn`.
+    /// `stable` or `rollout`; withdrawals are in `state::withdrawn`.
     version_stage stage = version_stage::stable;
     bool sensitive = false;
     stale_rule when_stale = stale_rule::by_stage;
@@ -89,10 +88,10 @@
     auto operator==(const backend_server&) const -> bool = default;
 };
 
-/// A plain service beside the engines. A method that is in neither list runs at most once.
+/// A service other than a model engine. A method that is in neither list runs at most once.
 struct service {
     common::service_name name;
-    /// Upper-case HTTP methods that may run again after an unknown outcome.
+    /// HTTP methods, in upper case, that may be repeated after an unknown outcome.
     std::vector<std::string> idempotent_methods;
     std::vector<std::string> at_most_once_methods;
     common::log_offset changed;
@@ -100,18 +99,18 @@
     auto operator==(const service&) const -> bool = default;
 };
 
-/// What an organisation asks for one task; the rule with an empty task holds for all others.
+/// An organisation's requirements for one task; the rule with an empty task applies to all others.
 struct task_rule {
     common::task_name task;
-    /// Least mean rating.
+    /// Minimum mean rating.
     common::permille quality_target;
-    /// Highest price of one million completion tokens; 0 for none.
+    /// Maximum price per million completion tokens; 0 for no limit.
     common::micro_money price_ceiling;
 
     auto operator==(const task_rule&) const -> bool = default;
 };
 
-/// Limits for any one minute; 0 for none.
+/// Limits per minute; 0 for no limit.
 struct minute_limits {
     std::uint64_t requests = 0;
     common::token_count tokens;
@@ -125,7 +124,7 @@
     /// Lower-case hexadecimal SHA-256 of each API key.
     std::vector<std::string> key_hashes;
     std::vector<common::model_id> models;
-    /// Where it names versions of an allowed model, only those of that model are allowed.
+    /// If it lists versions of an allowed model, only these versions of that model are allowed.
     std::vector<common::version_id> versions;
     std::vector<common::service_name> services;
     std::vector<task_rule> tasks;
@@ -137,7 +136,7 @@
 
 enum class rollout_status : std::uint8_t { running, paused, aborted, completed };
 
-/// Moves new sessions of a model from one version to another, step by step.
+/// Moves the new sessions of a model from one version to another in steps.
 struct rollout {
     std::string id;
     common::model_id model;
--- a/source/core/inventory/entity_json.cpp
+++ b/source/core/inventory/entity_json.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-constexpr std::uint64_t greatest_permille = 1000;
-constexpr std::uint64_t greatest_32 = 0xffffffffULL;
+constexpr std::uint64_t max_permille = 1000;
+constexpr std::uint64_t max_uint32 = 0xffffffffULL;
 constexpr std::size_t hash_digits = 64;
 
-/// A value of an enumeration with its name in JSON.
+/// An enumeration's value and its name in JSON.
 template <typename Value>
-struct named {
+struct named_value {
     Value value;
     std::string_view name;
 };
 
-constexpr auto kind_names = std::to_array<named<entity_kind>>({
+constexpr auto kind_names = std::to_array<named_value<entity_kind>>({
     {entity_kind::model, "model"},
     {entity_kind::version, "version"},
     {entity_kind::server, "server"},
@@ -34,24 +34,24 @@
     {entity_kind::rollout, "rollout"},
 });
 
-/// `withdrawn` is left out: a version is withdrawn by a withdrawal only.
-constexpr auto stage_names = std::to_array<named<version_stage>>({
+/// Lacks `withdrawn`: a version can only be withdrawn by a withdrawal.
+constexpr auto stage_names = std::to_array<named_value<version_stage>>({
     {version_stage::stable, "stable"},
     {version_stage::rollout, "rollout"},
 });
 
-constexpr auto stale_names = std::to_array<named<stale_rule>>({
+constexpr auto stale_names = std::to_array<named_value<stale_rule>>({
     {stale_rule::by_stage, "by_stage"},
     {stale_rule::serve, "serve"},
     {stale_rule::refuse, "refuse"},
 });
 
-constexpr auto server_kind_names = std::to_array<named<server_kind>>({
+constexpr auto server_kind_names = std::to_array<named_value<server_kind>>({
     {server_kind::engine, "engine"},
     {server_kind::service, "service"},
 });
 
-constexpr auto status_names = std::to_array<named<rollout_status>>({
+constexpr auto status_names = std::to_array<named_value<rollout_status>>({
     {rollout_status::running, "running"},
     {rollout_status::paused, "paused"},
     {rollout_status::aborted, "aborted"},
@@ -59,9 +59,9 @@
 });
 
 template <typename Value, std::size_t Count>
-auto name_of(const std::array<named<Value>, Count>& names, Value value) -> std::string_view
+auto name_of(const std::array<named_value<Value>, Count>& names, Value value) -> std::string_view
 {
-    const auto* found = std::ranges::find(names, value, &named<Value>::value);
+    const auto* found = std::ranges::find(names, value, &named_value<Value>::value);
     return found == names.end() ? std::string_view("unknown") : found->name;
 }
 
@@ -69,14 +69,14 @@
 auto enum_or(
     object_reader& from,
     std::string_view name,
-    const std::array<named<Value>, Count>& names,
+    const std::array<named_value<Value>, Count>& names,
     Value fallback) -> Value
 {
     const auto text = from.text_or_empty(name);
     if (text.empty()) {
         return fallback;
     }
-    const auto* found = std::ranges::find(names, text, &named<Value>::name);
+    const auto* found = std::ranges::find(names, text, &named_value<Value>::name);
     if (found == names.end()) {
         from.fail(name, "has an unknown value");
         return fallback;
@@ -112,20 +112,19 @@
 
 auto money_or_zero(object_reader& from, std::string_view name) -> common::micro_money
 {
-    return common::micro_money{
-        static_cast<std::int64_t>(from.number_or(name, 0, greatest_integer))};
+    return common::micro_money{static_cast<std::int64_t>(from.number_or(name, 0, max_integer))};
 }
 
 auto permille_or(object_reader& from, std::string_view name, std::uint32_t fallback)
     -> common::permille
 {
     return common::permille{
-        static_cast<std::uint32_t>(from.number_or(name, fallback, greatest_permille))};
+        static_cast<std::uint32_t>(from.number_or(name, fallback, max_permille))};
 }
 
 auto offset_or_zero(object_reader& from, std::string_view name) -> common::log_offset
 {
-    return common::log_offset{from.number_or(name, 0, greatest_integer)};
+    return common::log_offset{from.number_or(name, 0, max_integer)};
 }
 
 auto write(const model& item) -> json::object
@@ -228,7 +227,7 @@
     }
     object_reader inner(*source, from.path_of("prior"));
     made.mean = permille_or(inner, "mean", made.mean.value());
-    made.weight = static_cast<std::uint32_t>(inner.number_or("weight", made.weight, greatest_32));
+    made.weight = static_cast<std::uint32_t>(inner.number_or("weight", made.weight, max_uint32));
     from.adopt(inner.problem());
     return made;
 }
@@ -309,8 +308,8 @@
         return made;
     }
     object_reader inner(*source, from.path_of("limits"));
-    made.requests = inner.number_or("requests", 0, greatest_integer);
-    made.tokens = common::token_count{inner.number_or("tokens", 0, greatest_integer)};
+    made.requests = inner.number_or("requests", 0, max_integer);
+    made.tokens = common::token_count{inner.number_or("tokens", 0, max_integer)};
     made.money = money_or_zero(inner, "money");
     from.adopt(inner.problem());
     return made;
@@ -344,7 +343,7 @@
     made.from = common::version_id{from.id("from")};
     made.to = common::version_id{from.id("to")};
     made.share = permille_or(from, "share", 0);
-    made.step = static_cast<std::uint32_t>(from.number_or("step", 0, greatest_32));
+    made.step = static_cast<std::uint32_t>(from.number_or("step", 0, max_uint32));
     made.status = enum_or(from, "status", status_names, made.status);
     if (made.from == made.to) {
         from.fail("to", "must differ from `from`");
@@ -380,7 +379,7 @@
 
 auto kind_from_text(std::string_view text) -> std::optional<entity_kind>
 {
-    const auto* found = std::ranges::find(kind_names, text, &named<entity_kind>::name);
+    const auto* found = std::ranges::find(kind_names, text, &named_value<entity_kind>::name);
     if (found == kind_names.end()) {
         return std::nullopt;
     }
--- a/source/core/inventory/entity_json.hpp
+++ b/source/core/inventory/entity_json.hpp
@@ -11,22 +11,23 @@
 #include "inventory/record.hpp"
 #include "inventory/state.hpp"
 
-/// JSON form of entities and outcomes. Include it in .cpp files only: Boost.JSON is heavy.
+/// JSON format of entities and outcomes. Include it only in .cpp files, since Boost.JSON is slow to
+/// compile.
 namespace reedramp::inventory {
 
-/// Reads the members of one JSON object and remembers the first problem, so that a reader asks for
-/// all members in a row and looks at `problem()` once. Members that nobody asked for are a problem.
+/// Reads the members of one JSON object and keeps the first problem, so that the caller can read
+/// all members in sequence and check `problem()` once. A member that was not read is a problem.
 class object_reader {
 public:
     object_reader(const boost::json::value& source, std::string path);
 
-    /// Letters, digits and ._:/@+- only, 1 to 128 of them.
+    /// A text of 1 to 128 letters, digits or ._:/@+- characters.
     auto id(std::string_view name) -> std::string;
     /// As `id`, but empty if the member is missing or empty.
     auto id_or_empty(std::string_view name) -> std::string;
     auto text_or_empty(std::string_view name) -> std::string;
-    /// A whole number from 0 to `greatest`; `fallback` if the member is missing.
-    auto number_or(std::string_view name, std::uint64_t fallback, std::uint64_t greatest)
+    /// An integer from 0 to `max_value`; `fallback` if the member is missing.
+    auto number_or(std::string_view name, std::uint64_t fallback, std::uint64_t max_value)
         -> std::uint64_t;
     auto flag_or(std::string_view name, bool fallback) -> bool;
     auto ids(std::string_view name) -> std::vector<std::string>;
@@ -37,10 +38,10 @@
 
     auto fail(std::string_view name, std::string_view what) -> void;
     [[nodiscard]] auto path_of(std::string_view name) const -> std::string;
-    /// Takes over the problem of a reader of something inside.
+    /// Adopts the problem of the reader of a nested value.
     auto adopt(const std::string& inner_problem) -> void;
 
-    /// Empty if all is well. Call it after all members have been asked for.
+    /// The first problem; empty if there is none. Call it after all members have been read.
     auto problem() -> std::string;
 
 private:
@@ -50,11 +51,11 @@
     std::vector<std::string> known;
 };
 
-inline constexpr std::uint64_t greatest_integer = 0x7fffffffffffffffULL;
+inline constexpr std::uint64_t max_integer = 0x7fffffffffffffffULL;
 
 auto entity_to_json(const entity& item, bool with_changed) -> boost::json::object;
 
-/// Errors: `invalid_record` with the path of the member.
+/// Parses an entity. The error is `invalid_record`, with the path of the invalid member.
 auto entity_from_json(entity_kind kind, const boost::json::value& source, const std::string& path)
     -> common::result<entity>;
 
--- a/source/core/inventory/fold.cpp
+++ b/source/core/inventory/fold.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-/// Longer records are refused unread; a checkpoint at full size stays well below.
-constexpr std::size_t most_bytes = std::size_t{16} << 20U;
+/// Longer records are refused without parsing; the largest expected checkpoint is far smaller.
+constexpr std::size_t max_record_bytes = std::size_t{16} << 20U;
 
-/// A reason may quote what the record says; this bounds what a state keeps of it.
-constexpr std::size_t longest_reason = 512;
+/// Maximum length of a reason kept in the state, since a reason may quote the record.
+constexpr std::size_t max_reason_size = 512;
 
 auto target_of(const change& item) -> std::optional<entity_ref>
 {
@@ -31,7 +31,7 @@
     return std::nullopt;
 }
 
-/// Who changed the entity after the base, and what else the record changed.
+/// Describes the record that changed the entity after the base, and what else it changed.
 auto describe_winner(const state& current, const entity_ref& item, common::log_offset at)
     -> std::string
 {
@@ -76,7 +76,7 @@
     return {};
 }
 
-/// Puts or removes of one entity twice in a record have no clear meaning.
+/// Rejects a record that puts or removes the same entity twice.
 auto check_targets(const record& item) -> common::result<void>
 {
     std::set<entity_ref> seen;
@@ -131,7 +131,7 @@
     made.at = item.at;
     made.touched_count = item.changes.size();
     for (const auto& entry : item.changes) {
-        if (made.touched.size() == named_entities) {
+        if (made.touched.size() == max_named_entities) {
             break;
         }
         const auto* withdrawn = std::get_if<withdraw_change>(&entry);
@@ -142,20 +142,21 @@
     return made;
 }
 
-auto remember_problem(state& current, record_outcome item) -> void
+auto add_problem(state& current, record_outcome item) -> void
 {
     current.problems.push_back(std::move(item));
-    if (current.problems.size() > remembered_problems) {
+    if (current.problems.size() > max_problems) {
         current.problems.pop_front();
     }
 }
 
-/// Forgets the oldest outcome once there are too many. From then on a record with a base before it
-/// is refused, which also refuses a late copy of the forgotten record: its base was older still.
-auto remember(state& current, record_outcome item) -> void
+/// Adds an outcome and drops the oldest one beyond the limit. Records with a base before the
+/// dropped one are refused from then on. This also refuses a late duplicate of the dropped record,
+/// whose base is older still.
+auto add_recent_outcome(state& current, record_outcome item) -> void
 {
     current.recent.push_back(std::move(item));
-    if (current.recent.size() <= remembered_records) {
+    if (current.recent.size() <= max_recent_outcomes) {
         return;
     }
     current.base_floor = current.recent.front().offset;
@@ -170,8 +171,8 @@
     record_outcome item;
     item.offset = current.offset;
     item.code = code;
-    item.why = why.substr(0, longest_reason);
-    remember_problem(current, item);
+    item.why = why.substr(0, max_reason_size);
+    add_problem(current, item);
     return {fold_step::rejected, code, std::move(item.why)};
 }
 
@@ -196,7 +197,7 @@
         return {fold_step::already_folded, result_code::ok, {}};
     }
     current.offset = source.offset;
-    if (source.data.size() > most_bytes) {
+    if (source.data.size() > max_record_bytes) {
         return reject(current, result_code::invalid_record, "the record is too long");
     }
     if (looks_like_checkpoint(source.data)) {
@@ -213,14 +214,14 @@
     const auto decided = decide(current, *item);
     if (!decided) {
         outcome.code = decided.error().code;
-        outcome.why = decided.error().detail.substr(0, longest_reason);
-        remember_problem(current, outcome);
+        outcome.why = decided.error().detail.substr(0, max_reason_size);
+        add_problem(current, outcome);
     }
     fold_outcome made{fold_step::accepted, outcome.code, outcome.why};
     if (!decided) {
         made.step = fold_step::rejected;
     }
-    remember(current, std::move(outcome));
+    add_recent_outcome(current, std::move(outcome));
     return made;
 }
 
--- a/source/core/inventory/fold.hpp
+++ b/source/core/inventory/fold.hpp
@@ -6,14 +6,15 @@
 
 namespace reedramp::inventory {
 
-/// What folding one record did.
+/// Effect of folding one record.
 enum class fold_step : std::uint8_t {
     accepted,
-    /// Refused: conflict, invalid, malformed. The state moves past it and lists it.
+    /// Refused as a conflict, invalid or malformed. The state advances past the record and lists
+    /// it.
     rejected,
-    /// A record id that was decided before, a sound checkpoint; nothing but the offset changed.
+    /// A record id that was folded before, or a valid checkpoint: the entities are unchanged.
     no_change,
-    /// The record's offset is not after the state's; the state is untouched.
+    /// The record's offset is not after the state's; the state is unchanged.
     already_folded,
 };
 
@@ -27,12 +28,12 @@
 ///
 /// A record is a JSON object {"id","author","at","base","changes":[...]}, each change one of
 /// {"put":KIND,"value":{...}}, {"remove":KIND,"id":ID}, {"withdraw":VERSION}, {"rollout":{...}}; or
-/// {"checkpoint":{...}}. All of a record's changes are accepted, or none. It is refused with
-/// `conflict` if an entity that it puts or removes was changed after `base`; so of two operators
-/// who race, the first in log order wins, and all readers see the same winner. Withdrawals need no
-/// base: they only ever add to a set.
+/// {"checkpoint":{...}}. Either all changes of a record are accepted or none. A record is refused
+/// with `conflict` if an entity that it puts or removes was changed after `base`: of two concurrent
+/// changes the first in log order wins, in all processes. Withdrawals need no base, since they only
+/// add to a set.
 ///
-/// Unknown members are refused, not skipped: a misspelt rule would otherwise pass unseen.
+/// Unknown members are refused rather than ignored, so that a misspelt rule is noticed.
 auto apply(state& current, const messages::log_record& record) -> fold_outcome;
 
 } // namespace reedramp::inventory
--- a/source/core/inventory/follower.cpp
+++ b/source/core/inventory/follower.cpp
@@ -10,8 +10,8 @@
 
 namespace reedramp::inventory {
 
-struct follower::parts {
-    parts(follower_hooks given, follower_settings settings)
+struct follower::implementation {
+    implementation(follower_hooks given, follower_settings settings)
         : hooks(std::move(given)), core(settings, hooks.shared_key, hooks.random())
     {
     }
@@ -20,225 +20,226 @@
 
     std::mutex lock;
     follower_core core;
-    /// When the earliest timer that was asked for fires; `never` if none is.
+    /// Time of the earliest pending timer; `never` if there is none.
     common::time_point next_timer = common::never;
 
-    // Read without the lock above by those who decide about requests. The snapshot has a lock of
-    // its own, held for one copy of a pointer: atomic<shared_ptr> of libstdc++ 12 gives its inner
-    // lock back without release order after a load, which is a data race with the next store.
-    std::mutex shared_lock;
-    snapshot_ptr shared = std::make_shared<const state>();
-    std::atomic<common::time_point> until = common::time_point::min();
+    // Read on the request path without the lock above. The snapshot has its own lock, held only to
+    // copy a pointer: atomic<shared_ptr> of libstdc++ 12 releases its internal lock after a load
+    // without release order, which is a data race with the next store.
+    std::mutex snapshot_lock;
+    snapshot_ptr current_snapshot = std::make_shared<const state>();
+    std::atomic<common::time_point> current_until = common::time_point::min();
     std::atomic<bool> ready = false;
     std::atomic<bool> is_stopped = false;
 
-    // Making a checkpoint's text takes milliseconds; many new peers may ask for the same one.
-    std::mutex text_lock;
-    common::log_offset text_offset;
+    // Cached, since formatting a checkpoint takes milliseconds and many new peers may need the same
+    // one.
+    std::mutex checkpoint_lock;
+    common::log_offset checkpoint_offset;
     std::string text;
 };
 
 namespace {
 
-auto write_notes(const std::vector<log_note>& notes) -> void
+auto write_log_messages(const std::vector<log_message>& log_messages) -> void
 {
-    for (const auto& note : notes) {
-        common::log(common::log_part::config, note.level, note.text);
+    for (const auto& message : log_messages) {
+        common::log(common::log_part::config, message.level, message.text);
     }
 }
 
 } // namespace
 
-follower::follower(std::unique_ptr<parts> made) : all(std::move(made)) {}
+follower::follower(std::unique_ptr<implementation> made) : impl(std::move(made)) {}
 
 follower::~follower() = default;
 
 auto follower::create(follower_hooks hooks, follower_settings settings) -> std::shared_ptr<follower>
 {
-    auto made = std::make_unique<parts>(std::move(hooks), settings);
+    auto made = std::make_unique<implementation>(std::move(hooks), settings);
     return std::shared_ptr<follower>(new follower(std::move(made)));
 }
 
 auto follower::start() -> void
 {
-    this->wake();
+    this->tick();
 }
 
 auto follower::stop() -> void
 {
-    this->all->is_stopped.store(true);
+    this->impl->is_stopped.store(true);
 }
 
-auto follower::handle(const core_event& event) -> void
+auto follower::handle_event(const core_event& event) -> void
 {
-    const auto now = this->all->hooks.clock();
+    const auto now = this->impl->hooks.clock();
     follower_actions actions;
     {
-        const std::lock_guard guard(this->all->lock);
-        event(this->all->core, now, actions);
-        this->share(actions);
+        const std::lock_guard guard(this->impl->lock);
+        event(this->impl->core, now, actions);
+        this->publish_state(actions);
     }
-    this->run(std::move(actions));
+    this->execute(std::move(actions));
 }
 
-auto follower::wake() -> void
+auto follower::tick() -> void
 {
-    auto& hooks = this->all->hooks;
-    follower_surroundings around;
-    around.is_tailer = hooks.is_tailer();
-    around.peers = hooks.peers();
+    auto& hooks = this->impl->hooks;
+    follower_environment environment;
+    environment.is_tailer = hooks.is_tailer();
+    environment.peers = hooks.peers();
     if (hooks.tailers) {
-        around.tailers = hooks.tailers();
+        environment.tailers = hooks.tailers();
     }
-    this->handle([this, &around](auto& core, auto now, auto& actions) {
-        if (this->all->next_timer <= now) {
-            this->all->next_timer = common::never;
+    this->handle_event([this, &environment](auto& core, auto now, auto& actions) {
+        if (this->impl->next_timer <= now) {
+            this->impl->next_timer = common::never;
         }
-        actions = core.tick(now, std::move(around));
+        actions = core.tick(now, std::move(environment));
     });
 }
 
-auto follower::share(const follower_actions& actions) -> void
+auto follower::publish_state(const follower_actions& actions) -> void
 {
-    auto& mine = *this->all;
-    const auto is_ready = mine.core.is_ready();
+    auto& target = *this->impl;
+    const auto is_ready = target.core.is_ready();
     if (is_ready && actions.changed) {
-        auto newer = std::make_shared<const state>(mine.core.current());
-        const std::lock_guard guard(mine.shared_lock);
-        mine.shared = std::move(newer);
+        auto newer = std::make_shared<const state>(target.core.current());
+        const std::lock_guard guard(target.snapshot_lock);
+        target.current_snapshot = std::move(newer);
     }
-    mine.until.store(mine.core.current_until());
-    mine.ready.store(is_ready);
+    target.current_until.store(target.core.current_until());
+    target.ready.store(is_ready);
 }
 
-auto follower::run(follower_actions actions) -> void
+auto follower::execute(follower_actions actions) -> void
 {
-    write_notes(actions.notes);
-    if (actions.changed && this->ready() && this->all->hooks.changed) {
-        this->all->hooks.changed(this->snapshot());
+    write_log_messages(actions.log_messages);
+    if (actions.changed && this->ready() && this->impl->hooks.changed) {
+        this->impl->hooks.changed(this->snapshot());
     }
-    if (this->all->is_stopped.load()) {
+    if (this->impl->is_stopped.load()) {
         return;
     }
     if (actions.read) {
-        this->run_read(*actions.read);
+        this->send_read(*actions.read);
     }
-    for (auto& order : actions.pulls) {
-        this->run_pull(std::move(order));
+    for (auto& request : actions.pulls) {
+        this->send_pull(std::move(request));
     }
-    for (auto& order : actions.appends) {
-        this->run_append(std::move(order));
+    for (auto& request : actions.appends) {
+        this->send_append(std::move(request));
     }
-    this->schedule();
+    this->schedule_tick();
 }
 
-auto follower::schedule() -> void
+auto follower::schedule_tick() -> void
 {
     common::time_point wanted{};
     {
-        const std::lock_guard guard(this->all->lock);
-        wanted = this->all->core.next_wake(this->all->hooks.clock());
-        if (wanted >= this->all->next_timer) {
+        const std::lock_guard guard(this->impl->lock);
+        wanted = this->impl->core.next_wake(this->impl->hooks.clock());
+        if (wanted >= this->impl->next_timer) {
             return;
         }
-        this->all->next_timer = wanted;
+        this->impl->next_timer = wanted;
     }
-    this->all->hooks.timer(wanted, [weak = this->weak_from_this()] {
+    this->impl->hooks.timer(wanted, [weak = this->weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->wake();
+            self->tick();
         }
     });
 }
 
-auto follower::run_read(const read_order& order) -> void
+auto follower::send_read(const read_request& request) -> void
 {
     auto done = [weak = this->weak_from_this(),
-                 ticket = order.ticket](const common::result<platform::read_answer>& answer) {
+                 ticket = request.ticket](const common::result<platform::read_answer>& answer) {
         if (const auto self = weak.lock()) {
-            self->handle([&](auto& core, auto now, auto& actions) {
+            self->handle_event([&](auto& core, auto now, auto& actions) {
                 actions = core.on_read(ticket, answer, now);
             });
         }
     };
-    this->all->hooks.log.read(
-        platform::streams::configuration, order.after, order.wait, std::move(done));
+    this->impl->hooks.log.read(
+        platform::streams::configuration, request.after, request.wait, std::move(done));
 }
 
-auto follower::run_pull(pull_order order) -> void
+auto follower::send_pull(pull_request request) -> void
 {
-    auto done = [weak = this->weak_from_this(), ticket = order.ticket](
+    auto done = [weak = this->weak_from_this(), ticket = request.ticket](
                     const common::result<messages::configuration_push>& answer) {
         if (const auto self = weak.lock()) {
-            self->handle([&](auto& core, auto now, auto& actions) {
+            self->handle_event([&](auto& core, auto now, auto& actions) {
                 actions = core.on_push(ticket, answer, now);
             });
         }
     };
-    this->all->hooks.pull(order.to, std::move(order.pull), std::move(done));
+    this->impl->hooks.pull(request.to, std::move(request.pull), std::move(done));
 }
 
-auto follower::run_append(append_order order) -> void
+auto follower::send_append(append_request request) -> void
 {
     auto done = [weak = this->weak_from_this(),
-                 version = order.version](const common::result<common::log_offset>& answer) {
+                 version = request.version](const common::result<common::log_offset>& answer) {
         if (const auto self = weak.lock()) {
-            self->handle([&](auto& core, auto now, auto& actions) {
+            self->handle_event([&](auto& core, auto now, auto& actions) {
                 actions = core.on_append(version, answer, now);
             });
         }
     };
-    order.item.at = this->all->hooks.wall_clock();
-    this->all->hooks.log.append(
-        platform::streams::configuration, format_record(order.item), std::move(done));
+    request.item.at = this->impl->hooks.wall_clock();
+    this->impl->hooks.log.append(
+        platform::streams::configuration, format_record(request.item), std::move(done));
 }
 
 auto follower::ready() const -> bool
 {
-    return this->all->ready.load();
+    return this->impl->ready.load();
 }
 
 auto follower::snapshot() const -> snapshot_ptr
 {
-    const std::lock_guard guard(this->all->shared_lock);
-    return this->all->shared;
+    const std::lock_guard guard(this->impl->snapshot_lock);
+    return this->impl->current_snapshot;
 }
 
 auto follower::current_until() const -> common::time_point
 {
-    return this->all->until.load();
+    return this->impl->current_until.load();
 }
 
 auto follower::freshness() const -> rules::freshness
 {
-    return {this->current_until(), this->all->hooks.clock()};
+    return {this->current_until(), this->impl->hooks.clock()};
 }
 
 auto follower::evidence_time() const -> std::optional<common::time_point>
 {
-    const std::lock_guard guard(this->all->lock);
-    return this->all->core.evidence_time();
+    const std::lock_guard guard(this->impl->lock);
+    return this->impl->core.evidence_time();
 }
 
 auto follower::checkpoint_due() const -> bool
 {
-    const auto now = this->all->hooks.clock();
-    const std::lock_guard guard(this->all->lock);
-    return this->all->core.checkpoint_due(now);
+    const auto now = this->impl->hooks.clock();
+    const std::lock_guard guard(this->impl->lock);
+    return this->impl->core.checkpoint_due(now);
 }
 
 auto follower::counters() const -> follower_counters
 {
-    const std::lock_guard guard(this->all->lock);
-    return this->all->core.counters();
+    const std::lock_guard guard(this->impl->lock);
+    return this->impl->core.counters();
 }
 
 auto follower::answer(const messages::configuration_pull& pull) -> messages::configuration_push
 {
     pull_reply reply;
-    this->handle(
+    this->handle_event(
         [&](auto& core, auto now, auto& actions) { reply = core.on_pull(pull, now, actions); });
     if (reply.needs_checkpoint) {
-        // It may be newer than `push.offset` by now, which is as good.
+        // The checkpoint may be newer than `push.offset` by now, which is fine.
         reply.push.checkpoint = this->checkpoint_text(this->snapshot());
     }
     return std::move(reply.push);
@@ -246,12 +247,12 @@
 
 auto follower::checkpoint_text(const snapshot_ptr& of) -> std::string
 {
-    const std::lock_guard guard(this->all->text_lock);
-    if (this->all->text.empty() || this->all->text_offset != of->offset) {
-        this->all->text = format_checkpoint(*of);
-        this->all->text_offset = of->offset;
+    const std::lock_guard guard(this->impl->checkpoint_lock);
+    if (this->impl->text.empty() || this->impl->checkpoint_offset != of->offset) {
+        this->impl->text = format_checkpoint(*of);
+        this->impl->checkpoint_offset = of->offset;
     }
-    return this->all->text;
+    return this->impl->text;
 }
 
 auto follower::withdraw(
@@ -259,7 +260,7 @@
     -> common::result<void>
 {
     common::result<void> taken;
-    this->handle([&](auto& core, auto now, auto& actions) {
+    this->handle_event([&](auto& core, auto now, auto& actions) {
         taken = core.withdraw(version, record, author, now, actions);
     });
     return taken;
@@ -267,13 +268,13 @@
 
 auto follower::expect(common::log_offset offset) -> void
 {
-    this->handle(
+    this->handle_event(
         [offset](auto& core, auto now, auto& actions) { actions = core.expect(offset, now); });
 }
 
 auto follower::refresh() -> void
 {
-    this->handle([](auto& core, auto now, auto& actions) { actions = core.refresh(now); });
+    this->handle_event([](auto& core, auto now, auto& actions) { actions = core.refresh(now); });
 }
 
 } // namespace reedramp::inventory
--- a/source/core/inventory/follower_core.cpp
+++ b/source/core/inventory/follower_core.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// A start looks for a checkpoint among this many times the records between two checkpoints.
+/// Size of the first window of a scan, in multiples of the records between two checkpoints.
 constexpr std::uint64_t scan_window = 2;
 
-/// How long a process waits for a record that its own append is said to have brought into the log.
-constexpr auto expectation = std::chrono::seconds(30);
+/// How long a process waits for a record that it appended to appear in the log.
+constexpr auto expected_read_timeout = std::chrono::seconds(30);
 
-/// Pulls that fail before a new process turns to the log instead.
-constexpr std::uint32_t pulls_before_log = 2;
+/// Number of failed pulls after which a starting process reads the log instead.
+constexpr std::uint32_t failed_pulls_before_log = 2;
 
-/// `next_wake` lies at least this far ahead.
-constexpr auto shortest_sleep = std::chrono::milliseconds(1);
+/// Minimum delay until `next_wake`.
+constexpr auto min_sleep = std::chrono::milliseconds(1);
 
 auto text_of(common::log_offset offset) -> std::string
 {
@@ -33,27 +33,28 @@
 
 follower_core::follower_core(follower_settings given, std::string shared_key, std::uint64_t seed)
     : settings(given), key(std::move(shared_key)), random(seed),
-      kept(given.kept_records, given.kept_bytes), pending(given.pending_withdrawals)
+      recent_records(given.max_kept_records, given.max_kept_bytes),
+      pending_withdrawals(given.max_pending_withdrawals)
 {
 }
 
-auto follower_core::tick(common::time_point now, follower_surroundings seen) -> follower_actions
+auto follower_core::tick(common::time_point now, follower_environment seen) -> follower_actions
 {
     follower_actions actions;
-    this->around = std::move(seen);
+    this->environment = std::move(seen);
     if (!this->has_started) {
         this->has_started = true;
         this->own_read_at = now + this->settings.own_read_after;
-        this->checkpoint_seen_at = now;
+        this->last_checkpoint_at = now;
     }
-    this->step(now, actions);
+    this->send_due_calls(now, actions);
     return actions;
 }
 
-auto follower_core::step(common::time_point now, follower_actions& actions) -> void
+auto follower_core::send_due_calls(common::time_point now, follower_actions& actions) -> void
 {
-    this->expire(now);
-    const auto may_read = this->has_started && !this->read_under_way;
+    this->expire_calls(now);
+    const auto may_read = this->has_started && !this->read_in_flight;
     if (may_read && now >= this->next_read_at && this->wants_read(now)) {
         this->send_read(now, actions);
     }
@@ -63,17 +64,17 @@
     this->send_appends(now, actions);
 }
 
-/// An answer that never comes must not stop the reading for good.
-auto follower_core::expire(common::time_point now) -> void
+/// A response that never arrives must not block reads and pulls forever.
+auto follower_core::expire_calls(common::time_point now) -> void
 {
-    const auto& sent = this->read_under_way;
-    if (sent && now >= sent->sent + sent->wait + this->settings.answer_time) {
-        this->read_under_way.reset();
+    const auto& sent = this->read_in_flight;
+    if (sent && now >= sent->sent + sent->wait + this->settings.call_timeout) {
+        this->read_in_flight.reset();
         ++this->counts.log_failures;
-        this->back_off(now);
+        this->schedule_read_retry(now);
     }
-    const auto lost = std::erase_if(this->pulls_under_way, [this, now](const auto& entry) {
-        return now >= entry.second + this->settings.answer_time;
+    const auto lost = std::erase_if(this->pulls_in_flight, [this, now](const auto& entry) {
+        return now >= entry.second + this->settings.call_timeout;
     });
     this->counts.peer_failures += lost;
     this->failed_pulls += static_cast<std::uint32_t>(lost);
@@ -81,14 +82,14 @@
 
 auto follower_core::wants_read(common::time_point now) const -> bool
 {
-    if (this->around.is_tailer || this->refresh_wanted) {
+    if (this->environment.is_tailer || this->is_refresh_requested) {
         return true;
     }
-    if (this->expected > this->folded.offset && now < this->expected_until) {
+    if (this->expected_offset > this->current_state.offset && now < this->expected_deadline) {
         return true;
     }
     if (!this->ready) {
-        return this->around.peers.empty() || this->failed_pulls >= pulls_before_log;
+        return this->environment.peers.empty() || this->failed_pulls >= failed_pulls_before_log;
     }
     return now >= this->own_read_at;
 }
@@ -98,21 +99,22 @@
     if (!this->ready && !this->scan) {
         this->scan.emplace(scan_window * this->settings.checkpoint_records);
     }
-    const auto is_waiting = this->around.is_tailer || this->expected > this->folded.offset;
-    flight sent{++this->last_ticket, now, {}, {}};
-    read_order order{this->folded.offset, {}, sent.ticket};
+    const auto is_waiting =
+        this->environment.is_tailer || this->expected_offset > this->current_state.offset;
+    read_call sent{++this->last_ticket, now, {}, {}};
+    read_request request{this->current_state.offset, {}, sent.ticket};
     if (this->scan) {
-        order.after = this->scan->next_read();
+        request.after = this->scan->next_read();
     }
     else if (is_waiting) {
-        order.wait = this->settings.log_wait;
+        request.wait = this->settings.log_wait;
     }
-    sent.wait = order.wait;
-    sent.after = order.after;
-    this->read_under_way = sent;
-    this->refresh_wanted = false;
+    sent.wait = request.wait;
+    sent.after = request.after;
+    this->read_in_flight = sent;
+    this->is_refresh_requested = false;
     ++this->counts.log_reads;
-    actions.read = order;
+    actions.read = request;
 }
 
 auto follower_core::on_read(
@@ -121,128 +123,130 @@
     common::time_point now) -> follower_actions
 {
     follower_actions actions;
-    if (!this->read_under_way || this->read_under_way->ticket != ticket) {
+    if (!this->read_in_flight || this->read_in_flight->ticket != ticket) {
         return actions;
     }
-    const auto sent = *std::exchange(this->read_under_way, std::nullopt);
+    const auto sent = *std::exchange(this->read_in_flight, std::nullopt);
     if (!answer) {
-        this->read_failed(answer.error(), now, actions);
+        this->on_read_error(answer.error(), now, actions);
     }
     else {
-        this->retry_pause = {};
+        this->retry_delay = {};
         this->next_read_at = now;
         this->log_oldest = std::max(this->log_oldest, answer->oldest);
         if (this->scan) {
-            this->take_scan(*answer, sent, now, actions);
+            this->apply_scan_answer(*answer, sent, now, actions);
         }
         else {
-            this->take_records(*answer, sent, now, actions);
+            this->apply_records(*answer, sent, now, actions);
         }
     }
-    this->settle(now);
-    this->step(now, actions);
+    this->update_after_fold(now);
+    this->send_due_calls(now, actions);
     return actions;
 }
 
-auto follower_core::read_failed(
+auto follower_core::on_read_error(
     const common::error& why, common::time_point now, follower_actions& actions) -> void
 {
     if (why.code == result_code::log_trimmed) {
-        // The records after ours are gone: only a checkpoint, from the log or a peer, leads on.
-        actions.notes.push_back(
-            {log_level::warning, "log trimmed past offset=" + text_of(this->folded.offset)});
+        // The next records have been trimmed; only a checkpoint, from the log or from a peer, can
+        // advance the state.
+        actions.log_messages.push_back(
+            {log_level::warning, "log trimmed past offset=" + text_of(this->current_state.offset)});
         this->scan.emplace(scan_window * this->settings.checkpoint_records);
-        this->next_read_at = now + this->settings.retry_first;
+        this->next_read_at = now + this->settings.initial_retry_wait;
         return;
     }
     ++this->counts.log_failures;
-    if (this->retry_pause == common::duration{}) {
-        actions.notes.push_back({log_level::warning, "log read failed: " + why.detail});
+    if (this->retry_delay == common::duration{}) {
+        actions.log_messages.push_back({log_level::warning, "log read failed: " + why.detail});
     }
-    this->back_off(now);
+    this->schedule_read_retry(now);
 }
 
-auto follower_core::back_off(common::time_point now) -> void
+auto follower_core::schedule_read_retry(common::time_point now) -> void
 {
-    const auto doubled = std::max(this->settings.retry_first, this->retry_pause * 2);
-    this->retry_pause = std::min(doubled, this->settings.retry_last);
-    this->next_read_at = now + this->spread(this->retry_pause);
+    const auto doubled = std::max(this->settings.initial_retry_wait, this->retry_delay * 2);
+    this->retry_delay = std::min(doubled, this->settings.max_retry_wait);
+    this->next_read_at = now + this->add_jitter(this->retry_delay);
 }
 
-auto follower_core::take_records(
+auto follower_core::apply_records(
     const platform::read_answer& answer,
-    const flight& sent,
+    const read_call& sent,
     common::time_point now,
     follower_actions& actions) -> void
 {
-    if (sent.after > this->folded.offset) {
-        // Sent while the log was searched for a checkpoint; since then a peer gave an older state.
-        // Folding this answer would leave out the records in between, and no later read brings
-        // them.
+    if (sent.after > this->current_state.offset) {
+        // The read was sent during a scan for a checkpoint, and a peer has provided an older state
+        // since. Folding this response would skip the records in between, and no later read would
+        // return them.
         return;
     }
     for (const auto& item : answer.records) {
         this->fold(item, actions);
     }
     const auto is_early = now < sent.sent + sent.wait / 2;
-    if (answer.records.empty() && (is_early || answer.head > this->folded.offset)) {
-        // A log that does not hold a read open would else be asked without a pause.
-        this->next_read_at = now + this->settings.retry_first;
+    if (answer.records.empty() && (is_early || answer.head > this->current_state.offset)) {
+        // A log that does not delay the response to such a read would otherwise be polled without a
+        // delay.
+        this->next_read_at = now + this->settings.initial_retry_wait;
     }
-    if (answer.head < this->folded.offset) {
-        // A lagging replica of the log. It says nothing on whether ours is the newest state.
+    if (answer.head < this->current_state.offset) {
+        // A lagging replica of the log is no evidence that this state is the newest.
         ++this->counts.stale_answers;
-        this->next_read_at = now + this->settings.retry_first;
+        this->next_read_at = now + this->settings.initial_retry_wait;
         return;
     }
-    if (this->folded.offset >= answer.head) {
+    if (this->current_state.offset >= answer.head) {
         this->add_evidence(sent.sent);
     }
 }
 
-auto follower_core::take_scan(
+auto follower_core::apply_scan_answer(
     const platform::read_answer& answer,
-    const flight& sent,
+    const read_call& sent,
     common::time_point now,
     follower_actions& actions) -> void
 {
     const auto bad_before = this->scan->bad_checkpoints();
-    const auto found = this->scan->take(answer);
+    const auto found = this->scan->apply_answer(answer);
     this->counts.bad_checkpoints += this->scan->bad_checkpoints() - bad_before;
     if (found == scan_step::behind) {
         ++this->counts.stale_answers;
-        this->next_read_at = now + this->settings.retry_first;
+        this->next_read_at = now + this->settings.initial_retry_wait;
         return;
     }
     if (found == scan_step::reading) {
         return;
     }
     if (found == scan_step::no_checkpoint) {
-        actions.notes.push_back(
-            {log_level::error, "the log holds no sound checkpoint; waiting for a peer"});
+        actions.log_messages.push_back(
+            {log_level::error, "the log has no valid checkpoint; waiting for a peer"});
         this->scan.reset();
-        this->next_read_at = now + this->settings.retry_last;
+        this->next_read_at = now + this->settings.max_retry_wait;
         return;
     }
-    auto newer = this->scan->take_found();
+    auto newer = this->scan->take_state();
     this->scan.reset();
-    if (newer.offset < this->folded.offset) {
+    if (newer.offset < this->current_state.offset) {
         ++this->counts.stale_answers;
         return;
     }
-    if (!this->ready || newer.offset > this->folded.offset) {
-        this->install(std::move(newer), actions);
+    if (!this->ready || newer.offset > this->current_state.offset) {
+        this->install_state(std::move(newer), actions);
     }
     this->add_evidence(sent.sent);
 }
 
 auto follower_core::fold(const messages::log_record& item, follower_actions& actions) -> void
 {
-    const auto outcome = apply(this->folded, item);
+    const auto outcome = apply(this->current_state, item);
     if (outcome.step == fold_step::already_folded) {
         return;
     }
-    this->kept.push(item);
+    this->recent_records.push(item);
     ++this->counts.records_folded;
     actions.changed = true;
     if (outcome.step != fold_step::rejected) {
@@ -253,36 +257,36 @@
         ++this->counts.bad_checkpoints;
     }
     const auto name = std::string(common::row_of(outcome.code).name);
-    actions.notes.push_back(
+    actions.log_messages.push_back(
         {log_level::warning,
          "record refused offset=" + text_of(item.offset) + " code=" + name + ": " + outcome.why});
 }
 
-auto follower_core::install(state newer, follower_actions& actions) -> void
+auto follower_core::install_state(state newer, follower_actions& actions) -> void
 {
-    this->folded = std::move(newer);
-    this->kept.reset(this->folded.offset);
+    this->current_state = std::move(newer);
+    this->recent_records.reset(this->current_state.offset);
     this->ready = true;
     ++this->counts.checkpoints_loaded;
     actions.changed = true;
-    actions.notes.push_back(
-        {log_level::info, "configuration loaded offset=" + text_of(this->folded.offset)});
+    actions.log_messages.push_back(
+        {log_level::info, "configuration loaded offset=" + text_of(this->current_state.offset)});
 }
 
-auto follower_core::settle(common::time_point now) -> void
+auto follower_core::update_after_fold(common::time_point now) -> void
 {
-    this->pending.settle(this->folded);
-    if (this->folded.checkpoint != this->seen_checkpoint) {
-        this->seen_checkpoint = this->folded.checkpoint;
-        this->checkpoint_seen_at = now;
+    this->pending_withdrawals.update_state(this->current_state);
+    if (this->current_state.checkpoint != this->last_checkpoint) {
+        this->last_checkpoint = this->current_state.checkpoint;
+        this->last_checkpoint_at = now;
     }
 }
 
-/// Evidence holds from when a question was sent: the answer may have been under way, or this
+/// `as_of` is the time at which the request was sent: the response may have been delayed, or this
 /// process suspended, for any time since.
 auto follower_core::add_evidence(common::time_point as_of) -> void
 {
-    if (this->expected > this->folded.offset && as_of < this->expected_until) {
+    if (this->expected_offset > this->current_state.offset && as_of < this->expected_deadline) {
         return;
     }
     if (this->evidence && *this->evidence >= as_of) {
@@ -290,39 +294,39 @@
     }
     this->evidence = as_of;
     this->own_read_at =
-        as_of + this->settings.own_read_after + this->spread(this->settings.own_read_after / 2);
+        as_of + this->settings.own_read_after + this->add_jitter(this->settings.own_read_after / 2);
 }
 
 auto follower_core::expect(common::log_offset offset, common::time_point now) -> follower_actions
 {
     follower_actions actions;
-    if (offset > this->folded.offset) {
-        this->expected = std::max(this->expected, offset);
-        this->expected_until = now + expectation;
+    if (offset > this->current_state.offset) {
+        this->expected_offset = std::max(this->expected_offset, offset);
+        this->expected_deadline = now + expected_read_timeout;
     }
-    this->step(now, actions);
+    this->send_due_calls(now, actions);
     return actions;
 }
 
 auto follower_core::refresh(common::time_point now) -> follower_actions
 {
     follower_actions actions;
-    this->refresh_wanted = true;
-    this->step(now, actions);
+    this->is_refresh_requested = true;
+    this->send_due_calls(now, actions);
     return actions;
 }
 
 auto follower_core::next_wake(common::time_point now) const -> common::time_point
 {
     auto wake = std::min(this->next_pull_at, now + this->settings.pull_period);
-    if (this->read_under_way) {
-        const auto& sent = *this->read_under_way;
-        wake = std::min(wake, sent.sent + sent.wait + this->settings.answer_time);
+    if (this->read_in_flight) {
+        const auto& sent = *this->read_in_flight;
+        wake = std::min(wake, sent.sent + sent.wait + this->settings.call_timeout);
     }
     else if (this->wants_read(now)) {
         wake = std::min(wake, this->next_read_at);
     }
-    return std::max(wake, now + shortest_sleep);
+    return std::max(wake, now + min_sleep);
 }
 
 auto follower_core::current_until() const -> common::time_point
@@ -336,31 +340,31 @@
 auto follower_core::checkpoint_due(common::time_point now) const -> bool
 {
     const auto is_current = this->ready && now <= this->current_until();
-    if (!is_current || this->folded.offset == common::log_offset{}) {
+    if (!is_current || this->current_state.offset == common::log_offset{}) {
         return false;
     }
-    const auto newest = this->folded.checkpoint.value();
-    if (this->folded.offset.value() - newest >= this->settings.checkpoint_records) {
+    const auto newest = this->current_state.checkpoint.value();
+    if (this->current_state.offset.value() - newest >= this->settings.checkpoint_records) {
         return true;
     }
-    // Records that a reader of the newest checkpoint needs are gone from the log.
-    const auto is_cut_off = this->log_oldest.value() > newest + 1;
-    const auto is_old = now >= this->checkpoint_seen_at + this->settings.checkpoint_age;
-    return is_cut_off || is_old;
+    // The log has trimmed records that a reader of the newest checkpoint needs.
+    const auto is_trimmed = this->log_oldest.value() > newest + 1;
+    const auto is_old = now >= this->last_checkpoint_at + this->settings.checkpoint_age;
+    return is_trimmed || is_old;
 }
 
-auto follower_core::random_share() -> double
+auto follower_core::random_fraction() -> double
 {
     constexpr double scale = 1.0 / 9007199254740992.0; // 2^-53
     return static_cast<double>(this->random() >> 11U) * scale;
 }
 
-/// Between half of the span and the whole, so that processes that fail together don't retry
-/// together.
-auto follower_core::spread(common::duration span) -> common::duration
+/// Returns a random duration between half of the span and the whole, so that processes that fail at
+/// the same time don't retry at the same time.
+auto follower_core::add_jitter(common::duration span) -> common::duration
 {
     const auto half = span / 2;
-    const auto extra = static_cast<double>(half.count()) * this->random_share();
+    const auto extra = static_cast<double>(half.count()) * this->random_fraction();
     return half + common::duration(static_cast<common::duration::rep>(extra));
 }
 
--- a/source/core/inventory/follower_peers.cpp
+++ b/source/core/inventory/follower_peers.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// Said by a process that has no evidence; also the bound of an age that is believed.
+/// Evidence age reported by a process without evidence; larger ages are not accepted either.
 constexpr common::duration no_evidence = std::chrono::hours(24 * 365);
 
-/// A new process pulls this many times as often until it is ready.
+/// Factor by which a process pulls more often until it is ready.
 constexpr int pull_speed_up = 4;
 
-/// Author of a withdrawal that this process appends for another one.
-constexpr auto adopter = "reedramp";
+/// Author of a withdrawal that this process appends in place of another one.
+constexpr auto takeover_author = "reedramp";
 
 } // namespace
 
@@ -28,10 +28,10 @@
 {
     const auto period = this->settings.pull_period;
     this->next_pull_at =
-        now + (this->ready ? this->spread(period) + period / 4 : period / pull_speed_up);
-    const auto& tailers = this->around.tailers;
+        now + (this->ready ? this->add_jitter(period) + period / 4 : period / pull_speed_up);
+    const auto& tailers = this->environment.tailers;
     const auto use_tailers = this->pull_tailer_next && !tailers.empty();
-    const auto& choices = use_tailers ? tailers : this->around.peers;
+    const auto& choices = use_tailers ? tailers : this->environment.peers;
     this->pull_tailer_next = !this->pull_tailer_next;
     if (choices.empty()) {
         return;
@@ -43,15 +43,16 @@
     const messages::rpc_address& to, common::time_point now, follower_actions& actions) -> void
 {
     const auto ticket = ++this->last_ticket;
-    this->pulls_under_way.emplace(ticket, now);
+    this->pulls_in_flight.emplace(ticket, now);
     ++this->counts.peer_pulls;
-    actions.pulls.push_back({to, {this->folded.offset, this->pending.list()}, ticket});
+    actions.pulls.push_back(
+        {to, {this->current_state.offset, this->pending_withdrawals.list()}, ticket});
 }
 
-/// A pull carries the withdrawals that wait for the log, so it tells them as well.
-auto follower_core::tell_peers(common::time_point now, follower_actions& actions) -> void
+/// Sends the pending withdrawals to random peers; each pull carries them.
+auto follower_core::send_withdrawals(common::time_point now, follower_actions& actions) -> void
 {
-    const auto& peers = this->around.peers;
+    const auto& peers = this->environment.peers;
     const auto count = peers.empty() ? 0 : this->settings.withdrawal_fan_out;
     for (std::size_t index = 0; index < count; ++index) {
         this->pull_from(peers[this->random() % peers.size()], now, actions);
@@ -64,7 +65,7 @@
     common::time_point now) -> follower_actions
 {
     follower_actions actions;
-    const auto sent = this->pulls_under_way.extract(ticket);
+    const auto sent = this->pulls_in_flight.extract(ticket);
     if (sent.empty()) {
         return actions;
     }
@@ -73,43 +74,43 @@
         ++this->failed_pulls;
     }
     else {
-        this->take_push(*answer, sent.mapped(), now, actions);
+        this->apply_push(*answer, sent.mapped(), now, actions);
     }
-    this->settle(now);
-    this->step(now, actions);
+    this->update_after_fold(now);
+    this->send_due_calls(now, actions);
     return actions;
 }
 
-auto follower_core::take_push(
+auto follower_core::apply_push(
     const messages::configuration_push& push,
     common::time_point sent,
     common::time_point now,
     follower_actions& actions) -> void
 {
-    this->take_withdrawals(push.withdrawals, now, actions);
+    this->apply_withdrawals(push.withdrawals, now, actions);
     const auto has_evidence =
         push.evidence_age >= common::duration{} && push.evidence_age < no_evidence;
     if (push.offset == common::log_offset{} && !has_evidence) {
-        // The peer is itself not ready.
+        // The peer is not ready either.
         ++this->failed_pulls;
         return;
     }
-    if (push.offset < this->folded.offset) {
+    if (push.offset < this->current_state.offset) {
         ++this->counts.stale_answers;
         return;
     }
-    const auto before = this->folded.offset;
+    const auto before = this->current_state.offset;
     if (!push.checkpoint.empty()) {
-        this->take_peer_checkpoint(push.checkpoint, actions);
+        this->apply_peer_checkpoint(push.checkpoint, actions);
     }
     for (const auto& item : push.records) {
         this->fold(item, actions);
     }
-    if (this->folded.offset > before) {
-        // The peer was faster than the search of the log.
+    if (this->current_state.offset > before) {
+        // The peer was faster than the scan of the log.
         this->scan.reset();
     }
-    if (this->folded.offset < push.offset) {
+    if (this->current_state.offset < push.offset) {
         ++this->counts.peer_failures;
         ++this->failed_pulls;
         return;
@@ -122,62 +123,65 @@
     }
 }
 
-auto follower_core::take_peer_checkpoint(const std::string& text, follower_actions& actions) -> void
+auto follower_core::apply_peer_checkpoint(const std::string& text, follower_actions& actions)
+    -> void
 {
     auto sound = parse_checkpoint(text);
     if (!sound) {
         ++this->counts.bad_checkpoints;
-        actions.notes.push_back(
-            {log_level::warning, "a peer's checkpoint is refused: " + sound.error().detail});
+        actions.log_messages.push_back(
+            {log_level::warning, "checkpoint from a peer rejected: " + sound.error().detail});
         return;
     }
-    if (!this->ready || sound->offset > this->folded.offset) {
-        this->install(std::move(*sound), actions);
+    if (!this->ready || sound->offset > this->current_state.offset) {
+        this->install_state(std::move(*sound), actions);
     }
 }
 
-auto follower_core::take_withdrawals(
+auto follower_core::apply_withdrawals(
     const std::vector<messages::withdrawal>& items,
     common::time_point now,
     follower_actions& actions) -> void
 {
     auto has_new = false;
     for (const auto& item : items) {
-        has_new = this->take_withdrawal(item, now, actions) || has_new;
+        has_new = this->apply_withdrawal(item, now, actions) || has_new;
     }
     if (!has_new) {
         return;
     }
-    this->pending.settle(this->folded);
+    this->pending_withdrawals.update_state(this->current_state);
     actions.changed = true;
-    this->tell_peers(now, actions);
+    this->send_withdrawals(now, actions);
 }
 
-auto follower_core::take_withdrawal(
+auto follower_core::apply_withdrawal(
     const messages::withdrawal& item, common::time_point now, follower_actions& actions) -> bool
 {
-    if (this->folded.is_withdrawn(item.version)) {
+    if (this->current_state.is_withdrawn(item.version)) {
         return false;
     }
-    if (!is_proven(this->key, item)) {
+    if (!has_valid_proof(this->key, item)) {
         ++this->counts.forged_withdrawals;
-        actions.notes.push_back(
-            {log_level::error, "withdrawal without proof version=" + item.version.value()});
+        actions.log_messages.push_back(
+            {log_level::error,
+             "withdrawal without a valid proof ignored version=" + item.version.value()});
         return false;
     }
     pending_withdrawal made;
     made.item = item;
-    made.author = adopter;
-    made.append_at = now + this->settings.adopt_withdrawal_after +
-                     this->spread(this->settings.adopt_withdrawal_after);
+    made.author = takeover_author;
+    made.append_at = now + this->settings.withdrawal_takeover_delay +
+                     this->add_jitter(this->settings.withdrawal_takeover_delay);
     made.read_after = made.append_at;
-    if (this->pending.add(std::move(made)) == add_step::full) {
+    if (this->pending_withdrawals.add(std::move(made)) == add_step::full) {
         ++this->counts.dropped_withdrawals;
-        actions.notes.push_back(
-            {log_level::error, "no room for withdrawal version=" + item.version.value()});
+        actions.log_messages.push_back(
+            {log_level::error,
+             "too many pending withdrawals; dropped version=" + item.version.value()});
         return false;
     }
-    actions.notes.push_back(
+    actions.log_messages.push_back(
         {log_level::warning, "withdrawn by a peer version=" + item.version.value()});
     return true;
 }
@@ -190,15 +194,15 @@
     follower_actions& actions) -> common::result<void>
 {
     if (!this->ready) {
-        return failure(result_code::not_ready, "no configuration yet");
+        return failure(result_code::not_ready, "no configuration has been loaded yet");
     }
-    if (!this->folded.versions.contains(version)) {
+    if (!this->current_state.versions.contains(version)) {
         return failure(result_code::not_found, "version " + version.value());
     }
-    if (this->folded.is_withdrawn(version)) {
+    if (this->current_state.is_withdrawn(version)) {
         return {};
     }
-    if (this->folded.find_outcome(record) != nullptr) {
+    if (this->current_state.find_outcome(record) != nullptr) {
         return failure(result_code::conflict, "record id " + record.value() + " was used before");
     }
     pending_withdrawal made;
@@ -206,29 +210,29 @@
     made.author = author;
     made.is_own = true;
     made.append_at = now;
-    if (this->pending.add(std::move(made)) == add_step::full) {
-        return failure(result_code::queue_full, "too many withdrawals wait for the log");
+    if (this->pending_withdrawals.add(std::move(made)) == add_step::full) {
+        return failure(result_code::queue_full, "too many withdrawals are waiting for the log");
     }
-    this->settle(now);
+    this->update_after_fold(now);
     actions.changed = true;
-    actions.notes.push_back(
+    actions.log_messages.push_back(
         {log_level::warning, "withdrawn version=" + version.value() + " by=" + author});
-    this->tell_peers(now, actions);
-    this->step(now, actions);
+    this->send_withdrawals(now, actions);
+    this->send_due_calls(now, actions);
     return {};
 }
 
 auto follower_core::send_appends(common::time_point now, follower_actions& actions) -> void
 {
-    if (this->pending.empty()) {
+    if (this->pending_withdrawals.empty()) {
         return;
     }
-    const auto answer_until = now + this->settings.answer_time;
-    const auto due =
-        this->pending.take_due(now, this->evidence, this->around.is_tailer, answer_until);
+    const auto append_deadline = now + this->settings.call_timeout;
+    const auto due = this->pending_withdrawals.take_due(
+        now, this->evidence, this->environment.is_tailer, append_deadline);
     for (const auto& item : due) {
-        if (this->folded.find_outcome(item.item.record) != nullptr) {
-            // The id was used for another record, so this one would be taken for a repeat.
+        if (this->current_state.find_outcome(item.item.record) != nullptr) {
+            // The id was used by another record, so this one would be ignored as a duplicate.
             continue;
         }
         record made;
@@ -247,13 +251,14 @@
     follower_actions actions;
     const auto is_refused = !answer && answer.error().run == common::execution::not_run;
     if (is_refused) {
-        this->pending.refused(version, now + this->spread(this->settings.retry_last));
+        this->pending_withdrawals.on_append_refused(
+            version, now + this->add_jitter(this->settings.max_retry_wait));
     }
     else {
-        this->pending.answered(version, now);
-        this->refresh_wanted = true;
+        this->pending_withdrawals.on_append_answered(version, now);
+        this->is_refresh_requested = true;
     }
-    this->step(now, actions);
+    this->send_due_calls(now, actions);
     return actions;
 }
 
@@ -261,21 +266,21 @@
     const messages::configuration_pull& pull, common::time_point now, follower_actions& actions)
     -> pull_reply
 {
-    this->take_withdrawals(pull.withdrawals, now, actions);
+    this->apply_withdrawals(pull.withdrawals, now, actions);
     pull_reply reply;
-    reply.push.withdrawals = this->pending.list();
+    reply.push.withdrawals = this->pending_withdrawals.list();
     reply.push.evidence_age = no_evidence;
     if (!this->ready) {
         return reply;
     }
-    reply.push.offset = this->folded.offset;
+    reply.push.offset = this->current_state.offset;
     if (this->evidence) {
         reply.push.evidence_age = std::min(now - *this->evidence, no_evidence);
     }
-    if (pull.have >= this->folded.offset) {
+    if (pull.have >= this->current_state.offset) {
         return reply;
     }
-    auto records = this->kept.after(pull.have);
+    auto records = this->recent_records.after(pull.have);
     reply.needs_checkpoint = !records;
     reply.push.records = std::move(records).value_or(std::vector<messages::log_record>{});
     return reply;
--- a/source/core/inventory/hash.cpp
+++ b/source/core/inventory/hash.cpp
@@ -47,7 +47,7 @@
     std::string_view key, const common::version_id& version, const common::record_id& record)
     -> std::string
 {
-    // Ids hold no line break, so the two parts can't run into each other.
+    // Ids contain no line breaks, so the boundary between the two ids is unambiguous.
     const auto text = "withdraw\n" + version.value() + "\n" + record.value();
     digest_bytes bytes{};
     unsigned int size = 0;
@@ -56,7 +56,7 @@
     return to_hex(bytes, size);
 }
 
-auto is_proven(std::string_view key, const messages::withdrawal& item) -> bool
+auto has_valid_proof(std::string_view key, const messages::withdrawal& item) -> bool
 {
     const auto expected = withdrawal_proof(key, item.version, item.record);
     if (key.empty() || item.proof.size() != expected.size()) {
--- a/source/core/inventory/hash.hpp
+++ b/source/core/inventory/hash.hpp
@@ -5,7 +5,7 @@
 
 namespace reedramp::inventory {
 
-/// SHA-256 as 64 lower-case hexadecimal digits; also how the inventory stores API keys.
+/// SHA-256 as 64 lower-case hexadecimal digits; the inventory stores API keys in this form.
 auto sha256_hex(std::string_view text) -> std::string;
 
 } // namespace reedramp::inventory
--- a/source/core/inventory/object_reader.cpp
+++ b/source/core/inventory/object_reader.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t longest_id = 128;
-constexpr std::size_t longest_text = 4096;
+constexpr std::size_t max_id_size = 128;
+constexpr std::size_t max_text_size = 4096;
 
 auto is_id_character(char letter) -> bool
 {
@@ -20,7 +20,8 @@
 
 auto is_id(std::string_view text) -> bool
 {
-    return !text.empty() && text.size() <= longest_id && std::ranges::all_of(text, is_id_character);
+    return !text.empty() && text.size() <= max_id_size &&
+           std::ranges::all_of(text, is_id_character);
 }
 
 auto text_of(const boost::json::value& source) -> std::string_view
@@ -73,15 +74,15 @@
     if (found == nullptr) {
         return {};
     }
-    if (!found->is_string() || found->get_string().size() > longest_text) {
+    if (!found->is_string() || found->get_string().size() > max_text_size) {
         this->fail(name, "must be a text of at most 4096 bytes");
         return {};
     }
     return std::string(text_of(*found));
 }
 
-auto object_reader::number_or(std::string_view name, std::uint64_t fallback, std::uint64_t greatest)
-    -> std::uint64_t
+auto object_reader::number_or(
+    std::string_view name, std::uint64_t fallback, std::uint64_t max_value) -> std::uint64_t
 {
     const auto* found = this->member(name);
     if (found == nullptr) {
@@ -93,8 +94,8 @@
         return fallback;
     }
     const auto number = found->to_number<std::uint64_t>();
-    if (number > greatest) {
-        this->fail(name, "must be at most " + std::to_string(greatest));
+    if (number > max_value) {
+        this->fail(name, "must be at most " + std::to_string(max_value));
         return fallback;
     }
     return number;
--- a/source/core/inventory/publisher.cpp
+++ b/source/core/inventory/publisher.cpp
@@ -9,16 +9,16 @@
 using common::failure;
 using common::result_code;
 
-/// One record on its way into the log.
+/// The publication of one record.
 struct publisher::attempt {
     record item;
     common::time_point deadline;
     std::function<auto(common::result<publication> answer)->void> done;
-    /// Set once the log has said where the record is.
+    /// Offset of the record, once the log has returned it.
     std::optional<common::log_offset> appended_at;
     /// Whether a copy may have reached the log.
-    bool may_be_there = false;
-    /// When the last answer to an append was lost.
+    bool may_be_in_log = false;
+    /// When the response to the last append was lost.
     common::time_point lost_at;
 };
 
@@ -45,7 +45,7 @@
     made->deadline = deadline;
     made->done = std::move(done);
     if (!this->reader->ready()) {
-        made->done(failure(result_code::not_ready, "no configuration yet"));
+        made->done(failure(result_code::not_ready, "no configuration has been loaded yet"));
         return;
     }
     if (this->finish_if_decided(*made)) {
@@ -53,7 +53,7 @@
     }
     const auto checked = check_record(*this->reader->snapshot(), item);
     if (!checked) {
-        // The log can only have moved on from here, so the record would be refused there too.
+        // The log can only be further ahead, so it would refuse the record too.
         made->done(tl::unexpected(checked.error()));
         return;
     }
@@ -76,54 +76,54 @@
     -> void
 {
     if (answer) {
-        item->may_be_there = true;
+        item->may_be_in_log = true;
         item->appended_at = *answer;
         this->reader->expect(*answer);
-        this->look_later(item);
+        this->schedule_check(item);
         return;
     }
     const auto is_refused = answer.error().run == execution::not_run;
-    if (is_refused && !item->may_be_there) {
+    if (is_refused && !item->may_be_in_log) {
         item->done(tl::unexpected(answer.error()));
         return;
     }
     if (!is_refused) {
-        item->may_be_there = true;
+        item->may_be_in_log = true;
     }
     item->lost_at = this->hooks.clock();
-    this->look_later(item);
+    this->schedule_check(item);
 }
 
-auto publisher::look_later(const attempt_ptr& item) -> void
+auto publisher::schedule_check(const attempt_ptr& item) -> void
 {
-    const auto when = this->hooks.clock() + this->settings.look_period;
+    const auto when = this->hooks.clock() + this->settings.check_period;
     this->hooks.timer(when, [weak = this->weak_from_this(), item] {
         if (const auto self = weak.lock()) {
-            self->look(item);
+            self->check(item);
         }
     });
 }
 
-auto publisher::look(const attempt_ptr& item) -> void
+auto publisher::check(const attempt_ptr& item) -> void
 {
     if (this->finish_if_decided(*item)) {
         return;
     }
     if (this->hooks.clock() >= item->deadline) {
-        const auto* where = item->appended_at ? "appended, but not read back yet"
-                                              : "not known whether the log has the record";
+        const auto* where = item->appended_at ? "the record was appended but not read back yet"
+                                              : "it is not known whether the log has the record";
         item->done(failure(result_code::append_unknown, where));
         return;
     }
     const auto is_lost = !item->appended_at;
     const auto evidence = this->reader->evidence_time();
     if (is_lost && evidence && *evidence > item->lost_at) {
-        // The log was read after the loss and does not show the record.
+        // The log was read after the loss and does not contain the record.
         this->append(item);
         return;
     }
     this->reader->refresh();
-    this->look_later(item);
+    this->schedule_check(item);
 }
 
 auto publisher::finish_if_decided(const attempt& item) -> bool
--- a/source/core/inventory/publisher.hpp
+++ b/source/core/inventory/publisher.hpp
@@ -21,31 +21,31 @@
 };
 
 struct publisher_settings {
-    /// Time between two looks at whether the record has been read back.
-    common::duration look_period = std::chrono::milliseconds(50);
+    /// Interval of the checks whether the record has been read back.
+    common::duration check_period = std::chrono::milliseconds(50);
 };
 
-/// An accepted record: seen in the log as valid.
+/// An accepted record: read back from the log and valid.
 struct publication {
     common::record_id id;
     common::log_offset offset;
 };
 
-/// Publishes records of the configuration, each at most once.
+/// Publishes configuration records, each at most once.
 ///
-/// The answer to an append may be lost after the record has reached the log. A second append at
-/// once could then repeat it, so the publisher first reads on; only when the log, read after the
-/// loss, does not show the record, is the same record (same id) appended again. Should both land,
-/// the second is a no-op by its id.
+/// The response to an append may be lost after the record has reached the log, and an immediate
+/// second append would then duplicate it. The publisher therefore reads the log first, and appends
+/// the same record with the same id again only if the log, read after the loss, does not contain
+/// it. If both copies reach the log, the second is a no-op because of its id.
 class publisher : public std::enable_shared_from_this<publisher> {
 public:
     static auto create(
         publisher_hooks hooks, std::shared_ptr<follower> reader, publisher_settings settings = {})
         -> std::shared_ptr<publisher>;
 
-    /// Errors: `conflict` (names who won and what changed), `invalid_record`, `version_withdrawn`,
-    /// `log_unavailable` (not appended), `append_unknown` (not resolved by the deadline; publishing
-    /// the same record again is safe).
+    /// Errors: `conflict` (with the record that won and what it changed), `invalid_record`,
+    /// `version_withdrawn`, `not_ready`, `log_unavailable` (not appended), and `append_unknown` if
+    /// the outcome is unknown at the deadline; publishing the same record again is then safe.
     auto publish(
         const record& item,
         common::time_point deadline,
@@ -60,9 +60,9 @@
     auto append(const attempt_ptr& item) -> void;
     auto on_append(const attempt_ptr& item, const common::result<common::log_offset>& answer)
         -> void;
-    /// Looks after a while whether the record was read back.
-    auto look_later(const attempt_ptr& item) -> void;
-    auto look(const attempt_ptr& item) -> void;
+    /// Checks after `check_period` whether the record was read back.
+    auto schedule_check(const attempt_ptr& item) -> void;
+    auto check(const attempt_ptr& item) -> void;
     auto finish_if_decided(const attempt& item) -> bool;
 
     publisher_hooks hooks;
--- a/source/core/inventory/record.cpp
+++ b/source/core/inventory/record.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Also bounds the work that one record can cause in every process.
-constexpr std::size_t most_changes = 10000;
+/// Maximum number of changes in a record; limits the work that one record causes in every process.
+constexpr std::size_t max_changes = 10000;
 
 auto read_put(object_reader& from, const std::string& path) -> common::result<change>
 {
@@ -51,7 +51,7 @@
     return remove_change{{*kind, from.id("id")}};
 }
 
-auto read_by_verb(object_reader& from, const json::object& source, const std::string& path)
+auto read_change_by_verb(object_reader& from, const json::object& source, const std::string& path)
     -> common::result<change>
 {
     if (source.contains("put")) {
@@ -75,7 +75,7 @@
         return failure(result_code::invalid_record, path + " must be an object");
     }
     object_reader from(source, path);
-    auto made = read_by_verb(from, source.get_object(), path);
+    auto made = read_change_by_verb(from, source.get_object(), path);
     auto problem = from.problem();
     if (made && !problem.empty()) {
         return failure(result_code::invalid_record, std::move(problem));
@@ -86,7 +86,7 @@
 auto read_changes(object_reader& from) -> common::result<std::vector<change>>
 {
     const auto& elements = from.elements("changes");
-    if (elements.empty() || elements.size() > most_changes) {
+    if (elements.empty() || elements.size() > max_changes) {
         return failure(result_code::invalid_record, "changes must hold 1 to 10000 changes");
     }
     std::vector<change> made;
@@ -139,9 +139,8 @@
     record made;
     made.id = common::record_id{from.id("id")};
     made.author = from.id("author");
-    made.at =
-        common::wall_time_ms{static_cast<std::int64_t>(from.number_or("at", 0, greatest_integer))};
-    made.base = common::log_offset{from.number_or("base", 0, greatest_integer)};
+    made.at = common::wall_time_ms{static_cast<std::int64_t>(from.number_or("at", 0, max_integer))};
+    made.base = common::log_offset{from.number_or("base", 0, max_integer)};
     auto changes = read_changes(from);
     auto problem = from.problem();
     if (!problem.empty()) {
--- a/source/core/inventory/record.hpp
+++ b/source/core/inventory/record.hpp
@@ -11,12 +11,12 @@
 #include "inventory/entities.hpp"
 #include "inventory/state.hpp"
 
-/// Records of the configuration stream, and their JSON text.
+/// Records of the configuration stream and their JSON format.
 namespace reedramp::inventory {
 
 using entity = std::variant<model, version, backend_server, service, organisation, rollout>;
 
-/// Adds an entity or replaces it whole. Its `changed` is ignored.
+/// Adds an entity or replaces it as a whole. The value's `changed` is ignored.
 struct put_change {
     entity value;
 };
@@ -35,40 +35,42 @@
     common::record_id id;
     std::string author;
     common::wall_time_ms at;
-    /// The offset up to which the author had seen the log when deciding on the changes.
+    /// Offset up to which the author had read the log when making the changes.
     common::log_offset base;
     std::vector<change> changes;
 };
 
-/// Errors: `invalid_record`, with the path of the member that is wrong.
+/// Parses the JSON text of a record. The error is `invalid_record`, with the path of the invalid
+/// member.
 auto parse_record(std::string_view text) -> common::result<record>;
 
 auto format_record(const record& item) -> std::string;
 
-/// What folding the record onto `base` would give, without an append: `check` for operators.
-/// Errors: those of `apply`.
+/// Returns the state after folding the record onto `base`, without appending it; used by the
+/// operators' `check`. Errors: those of `apply`.
 auto check_record(const state& base, const record& item) -> common::result<state>;
 
 auto ref_of(const entity& item) -> entity_ref;
 
-/// "version v2"; used in messages to operators.
+/// Formats a reference as in "version v2", for messages to operators.
 auto to_string(const entity_ref& item) -> std::string;
 auto to_string(entity_kind kind) -> std::string_view;
 
-/// An entity as JSON text with `changed`; empty if there is none.
+/// An entity as JSON text, including `changed`; empty if it does not exist.
 auto entity_text(const state& current, const entity_ref& item) -> std::string;
 
-/// The whole state as JSON text; equal states give equal text.
+/// The whole state as JSON text. Equal states have equal texts.
 auto state_text(const state& current) -> std::string;
 
-/// One row of a comparison of two states.
+/// An entity that differs between two states.
 struct difference {
     entity_ref entity;
-    /// JSON text before and after; empty if the entity is not there.
+    /// JSON text before and after; empty if the entity does not exist.
     std::string before;
     std::string after;
 };
 
+/// Returns the entities that differ between the two states.
 auto compare(const state& before, const state& after) -> std::vector<difference>;
 
 } // namespace reedramp::inventory
--- a/source/core/inventory/record_buffer.cpp
+++ b/source/core/inventory/record_buffer.cpp
@@ -5,8 +5,8 @@
 
 namespace reedramp::inventory {
 
-record_buffer::record_buffer(std::size_t records_bound, std::size_t bytes_bound)
-    : most_records(records_bound), most_bytes(bytes_bound)
+record_buffer::record_buffer(std::size_t wanted_records, std::size_t wanted_bytes)
+    : max_records(wanted_records), max_bytes(wanted_bytes)
 {
 }
 
@@ -21,7 +21,7 @@
 {
     this->bytes += item.data.size();
     this->records.push_back(std::move(item));
-    while (this->records.size() > this->most_records || this->bytes > this->most_bytes) {
+    while (this->records.size() > this->max_records || this->bytes > this->max_bytes) {
         this->drop_oldest();
     }
 }
--- a/source/core/inventory/register_import.cpp
+++ b/source/core/inventory/register_import.cpp
@@ -19,13 +19,13 @@
     std::vector<std::string> fields;
 };
 
-/// Reads CSV as of RFC 4180: fields may be quoted, and quoted fields may hold commas, line breaks
-/// and doubled quotes.
+/// Parses CSV according to RFC 4180: fields may be quoted, and quoted fields may contain commas,
+/// line breaks and doubled quotes.
 class csv_reader {
 public:
     explicit csv_reader(std::string_view source) : text(source) {}
 
-    /// nullopt at the end.
+    /// The next row that is not blank; nullopt at the end.
     auto next() -> std::optional<csv_row>
     {
         while (this->position < this->text.size()) {
@@ -102,32 +102,32 @@
     std::size_t line = 1;
 };
 
-/// Gives a row's field by the name of its column.
+/// Looks up a row's fields by the names of their columns.
 class column_index {
 public:
     explicit column_index(const std::vector<std::string>& names)
     {
         for (std::size_t index = 0; index < names.size(); ++index) {
-            this->places.emplace(names[index], index);
+            this->positions.emplace(names[index], index);
         }
     }
 
     [[nodiscard]] auto has(const std::string& name) const -> bool
     {
-        return this->places.contains(name);
+        return this->positions.contains(name);
     }
 
     [[nodiscard]] auto field(const csv_row& row, const std::string& name) const -> std::string
     {
-        const auto found = this->places.find(name);
-        if (found == this->places.end() || found->second >= row.fields.size()) {
+        const auto found = this->positions.find(name);
+        if (found == this->positions.end() || found->second >= row.fields.size()) {
             return {};
         }
         return row.fields[found->second];
     }
 
 private:
-    std::map<std::string, std::size_t> places;
+    std::map<std::string, std::size_t> positions;
 };
 
 auto split_versions(const std::string& text) -> std::vector<common::version_id>
@@ -181,7 +181,7 @@
         return "a server needs a data centre and a region";
     }
     if (seen.contains(item.id)) {
-        return "id " + item.id.value() + " stands twice";
+        return "id " + item.id.value() + " occurs more than once";
     }
     if (!fencing.empty() && fencing != "yes" && fencing != "no") {
         return "fencing must be yes or no, not " + fencing;
@@ -238,7 +238,7 @@
     while (const auto row = reader.next()) {
         const auto kind = index.field(*row, columns.kind);
         if (kind != "engine" && kind != "service") {
-            ++made.passed_over;
+            ++made.skipped;
             continue;
         }
         auto item = read_server(*row, index, columns);
--- a/source/core/inventory/register_import.hpp
+++ b/source/core/inventory/register_import.hpp
@@ -8,34 +8,35 @@
 #include "inventory/record.hpp"
 #include "inventory/state.hpp"
 
-/// Makes changes of the inventory from an asset register, a CSV file (RFC 4180) that operators
-/// already keep.
+/// Import of backend servers from an asset register, a CSV file (RFC 4180) that operators already
+/// maintain.
 namespace reedramp::inventory {
 
-/// Names of the register's columns, since each firm has its own.
+/// Names of the register's columns, which differ between companies.
 struct register_columns {
     std::string id = "asset";
     std::string host = "host";
     std::string data_centre = "data_centre";
     std::string region = "region";
-    /// "engine" or "service"; rows with another kind are not backend servers and are passed over.
+    /// "engine" or "service"; rows of other kinds are not backend servers and are skipped.
     std::string kind = "kind";
-    /// Versions of an engine, split by ';'.
+    /// Versions of an engine, separated by ';'.
     std::string versions = "versions";
-    /// Name of a plain service.
+    /// Name of the service that the server runs, for rows of kind "service".
     std::string service = "service";
     /// "yes" or "no".
     std::string checks_fencing = "checks_fencing";
 };
 
 struct register_import {
-    /// Puts for new and changed servers, removes for those that the register no longer lists.
+    /// Puts for new and changed servers, and removals of those that the register no longer lists.
     std::vector<change> changes;
     std::size_t unchanged = 0;
-    std::size_t passed_over = 0;
+    std::size_t skipped = 0;
 };
 
-/// Errors: `invalid_record` with all problems, each with its line.
+/// Returns the changes that bring the inventory's servers in line with the register. The error is
+/// `invalid_record` and lists all problems with their line numbers.
 auto import_register(std::string_view csv, const register_columns& columns, const state& current)
     -> common::result<register_import>;
 
--- a/source/core/inventory/rules.cpp
+++ b/source/core/inventory/rules.cpp
@@ -17,12 +17,12 @@
 }
 
 template <typename Items, typename Value>
-auto holds(const Items& items, const Value& value) -> bool
+auto contains(const Items& items, const Value& value) -> bool
 {
     return std::ranges::find(items, value) != items.end();
 }
 
-/// The roll-out to this version that changed last; null if there is none.
+/// The last changed roll-out to this version; null if there is none.
 auto newest_rollout_to(const state& current, const common::version_id& id) -> const rollout*
 {
     const rollout* newest = nullptr;
@@ -71,20 +71,20 @@
 
 auto allowed(const state& current, const organisation& owner, const version& item) -> bool
 {
-    if (!holds(owner.models, item.model)) {
+    if (!contains(owner.models, item.model)) {
         return false;
     }
     const auto is_same_model = [&current, &item](const common::version_id& id) {
-        const auto* named = find_version(current, id);
-        return named != nullptr && named->model == item.model;
+        const auto* listed = find_version(current, id);
+        return listed != nullptr && listed->model == item.model;
     };
     const auto is_restricted = std::ranges::any_of(owner.versions, is_same_model);
-    return !is_restricted || holds(owner.versions, item.id);
+    return !is_restricted || contains(owner.versions, item.id);
 }
 
 auto allowed(const organisation& owner, const common::service_name& name) -> bool
 {
-    return holds(owner.services, name);
+    return contains(owner.services, name);
 }
 
 auto task_rule_of(const organisation& owner, const common::task_name& task) -> const task_rule*
@@ -164,7 +164,7 @@
 {
     std::vector<const backend_server*> found;
     for (const auto& [name, item] : current.servers) {
-        if (holds(item.versions, id)) {
+        if (contains(item.versions, id)) {
             found.push_back(&item);
         }
     }
@@ -185,7 +185,7 @@
 
 auto repeat_rule_of(const service& item, std::string_view method) -> messages::repeat_rule
 {
-    const auto is_listed = holds(item.idempotent_methods, method);
+    const auto is_listed = contains(item.idempotent_methods, method);
     return is_listed ? messages::repeat_rule::idempotent : messages::repeat_rule::at_most_once;
 }
 
--- a/source/core/inventory/rules.hpp
+++ b/source/core/inventory/rules.hpp
@@ -8,10 +8,10 @@
 #include "inventory/state.hpp"
 #include "messages/run.hpp"
 
-/// Questions about a state. Pure.
+/// Queries on a state. All are pure functions.
 namespace reedramp::inventory::rules {
 
-/// Owner of an API key by the key's SHA-256 in hexadecimal digits; null if unknown.
+/// Owner of the API key with this SHA-256, in hexadecimal digits; null if unknown.
 auto organisation_of_key(const state& current, std::string_view key_hash) -> const organisation*;
 
 auto find_organisation(const state& current, const common::organisation_id& id)
@@ -19,19 +19,20 @@
 auto find_version(const state& current, const common::version_id& id) -> const version*;
 auto find_service(const state& current, const common::service_name& name) -> const service*;
 
-/// Whether the organisation's rules allow the version, whatever its stage: its model is allowed,
-/// and the organisation names either this version or no version of the model.
+/// Whether the organisation's rules allow the version, regardless of its stage: its model is
+/// allowed, and the organisation lists either this version or no version of the model.
 auto allowed(const state& current, const organisation& owner, const version& item) -> bool;
 auto allowed(const organisation& owner, const common::service_name& name) -> bool;
 
-/// The rule for a task, else the organisation's rule for all tasks, else null.
+/// The rule for a task, or else the organisation's rule for all other tasks; null if it has
+/// neither.
 auto task_rule_of(const organisation& owner, const common::task_name& task) -> const task_rule*;
 
-/// Stage with withdrawals and roll-outs: the newest roll-out to a version decides, and without one
-/// what operators said of the version itself.
+/// Effective stage of a version: withdrawn, or else by the newest roll-out to it, or without one
+/// the stage that operators set.
 auto stage_of(const state& current, const common::version_id& id) -> version_stage;
 
-/// Until when the configuration is known to be current.
+/// How long the configuration is known to be current.
 struct freshness {
     common::time_point current_until;
     common::time_point now;
@@ -40,13 +41,13 @@
 enum class work_origin : std::uint8_t {
     /// A new session, or a request without one.
     new_work,
-    /// A request of a session that is pinned to the version already.
+    /// A request of a session that is already pinned to the version.
     pinned_session,
 };
 
-/// Whether a version may take work now. Errors: `unknown_model`, `version_withdrawn`,
-/// `stale_configuration` (new work only: past `current_until` the version may have been paused or
-/// withdrawn without this process knowing).
+/// Returns the version if it may take work now. Errors: `unknown_model`, `version_withdrawn`, and
+/// for new work `stale_configuration`: after `current_until` the version may have been paused or
+/// withdrawn without this process knowing.
 auto serving(
     const state& current,
     const common::version_id& id,
@@ -64,7 +65,7 @@
 auto servers_of(const state& current, const common::service_name& name)
     -> std::vector<const backend_server*>;
 
-/// Whether a call may run again after an unknown outcome.
+/// Whether a call of this method may be repeated after an unknown outcome.
 auto repeat_rule_of(const service& item, std::string_view method) -> messages::repeat_rule;
 
 } // namespace reedramp::inventory::rules
--- a/source/core/inventory/state.cpp
+++ b/source/core/inventory/state.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Calls `action` with the map that holds entities of this kind and the id in the map's key type.
+/// Calls `action` with the map of entities of this kind and the id as the map's key type.
 template <typename State, typename Action>
 auto with_map(State& current, const entity_ref& item, Action action)
 {
--- a/source/core/inventory/state.hpp
+++ b/source/core/inventory/state.hpp
@@ -15,19 +15,20 @@
 
 namespace reedramp::inventory {
 
-/// How many records' outcomes a state remembers. A constant and not a setting: the outcome of a
-/// record depends on it, and must be the same in all processes.
-inline constexpr std::size_t remembered_records = 1024;
+/// Maximum number of record outcomes kept in a state. A constant rather than a setting: the outcome
+/// of a record depends on it and must be the same in all processes.
+inline constexpr std::size_t max_recent_outcomes = 1024;
 
-/// How many refused or unreadable records a state lists for operators.
-inline constexpr std::size_t remembered_problems = 64;
+/// Maximum number of refused or malformed records that a state lists for operators.
+inline constexpr std::size_t max_problems = 64;
 
-/// How many touched entities an outcome names; `record_outcome::touched_count` has them all.
-inline constexpr std::size_t named_entities = 16;
+/// Maximum number of touched entities listed in an outcome; `record_outcome::touched_count` counts
+/// all of them.
+inline constexpr std::size_t max_named_entities = 16;
 
-/// What became of one record of the log.
+/// Outcome of one record of the log.
 struct record_outcome {
-    /// Empty for a record that could not be read.
+    /// Empty for a malformed record.
     common::record_id id;
     common::log_offset offset;
     std::string author;
@@ -41,14 +42,15 @@
     auto operator==(const record_outcome&) const -> bool = default;
 };
 
-/// The configuration as of one offset of the log: a pure function of the log's records up to there,
-/// but for `withdrawn_early`.
+/// The configuration as of one offset of the log. Except for `withdrawn_early`, it is a pure
+/// function of the log's records up to that offset.
 struct state {
     /// Offset of the last record folded, 0 before the first.
     common::log_offset offset;
-    /// State offset of the newest sound checkpoint among the records folded.
+    /// State offset of the newest valid checkpoint among the records folded.
     common::log_offset checkpoint;
-    /// A record with a smaller base is refused: what was removed or decided before is forgotten.
+    /// A record with a smaller base is refused, since removals and outcomes before this offset are
+    /// no longer known.
     common::log_offset base_floor;
 
     std::map<common::model_id, model> models;
@@ -58,35 +60,37 @@
     std::map<common::organisation_id, organisation> organisations;
     std::map<std::string, rollout> rollouts;
 
-    /// Removed entities since `base_floor`, with the offset of the removal.
+    /// Entities removed since `base_floor`, with the offset of the removal.
     std::map<entity_ref, common::log_offset> removed;
     /// Withdrawn versions with the offset of the withdrawal. Only grows.
     std::map<common::version_id, common::log_offset> withdrawn;
-    /// Outcomes of the last records that could be read, oldest first.
+    /// Outcomes of the last well-formed records, oldest first.
     std::deque<record_outcome> recent;
-    /// The last records that were refused or could not be read, oldest first.
+    /// The last records that were refused or malformed, oldest first.
     std::deque<record_outcome> problems;
 
-    /// Withdrawals that came from peers and are not in the log yet. Not part of the digest.
+    /// Withdrawals by an operator here or from peers that are in force but not in the log yet. Not
+    /// part of the digest.
     std::set<common::version_id> withdrawn_early;
-    /// Owner of each API key hash, made from `organisations`.
+    /// Owner of each API key hash, derived from `organisations`.
     std::map<std::string, common::organisation_id> key_owners;
 
     [[nodiscard]] auto is_withdrawn(const common::version_id& id) const -> bool;
 
-    /// Outcome of a remembered record; null if there is none.
+    /// Outcome of the record with this id in `recent`; null if there is none.
     [[nodiscard]] auto find_outcome(const common::record_id& id) const -> const record_outcome*;
 
-    /// Outcome of the remembered record at this offset; null if there is none.
+    /// Outcome of the record at this offset in `recent`; null if there is none.
     [[nodiscard]] auto find_outcome_at(common::log_offset at) const -> const record_outcome*;
 
-    /// Offset of the last change or removal of an entity, 0 if it was never there or is forgotten.
+    /// Offset of the last change or removal of an entity; 0 if it is unknown or its removal is no
+    /// longer in `removed`.
     [[nodiscard]] auto changed_at(const entity_ref& item) const -> common::log_offset;
 
     auto operator==(const state&) const -> bool = default;
 };
 
-/// An immutable state, shared by all who decide by it.
+/// An immutable state, shared by its readers.
 using snapshot_ptr = std::shared_ptr<const state>;
 
 } // namespace reedramp::inventory
--- a/source/core/inventory/state_edit.cpp
+++ b/source/core/inventory/state_edit.cpp
@@ -4,16 +4,16 @@
 
 namespace reedramp::inventory {
 
-auto state_edit::keep_image(const entity_ref& item) -> void
+auto state_edit::save_original(const entity_ref& item) -> void
 {
-    if (this->images.contains(item)) {
+    if (this->originals.contains(item)) {
         return;
     }
-    this->images.emplace(item, get_entity(this->current, item));
-    const auto gone = this->current.removed.find(item);
+    this->originals.emplace(item, get_entity(this->current, item));
+    const auto removed_entity = this->current.removed.find(item);
     std::optional<common::log_offset> removal;
-    if (gone != this->current.removed.end()) {
-        removal = gone->second;
+    if (removed_entity != this->current.removed.end()) {
+        removal = removed_entity->second;
     }
     this->removals.emplace(item, removal);
 }
@@ -21,7 +21,7 @@
 auto state_edit::put(entity item, common::log_offset at) -> void
 {
     const auto ref = ref_of(item);
-    this->keep_image(ref);
+    this->save_original(ref);
     std::visit([at](auto& value) { value.changed = at; }, item);
     set_entity(this->current, std::move(item));
     this->current.removed.erase(ref);
@@ -29,7 +29,7 @@
 
 auto state_edit::remove(const entity_ref& item, common::log_offset at) -> void
 {
-    this->keep_image(item);
+    this->save_original(item);
     erase_entity(this->current, item);
     this->current.removed.insert_or_assign(item, at);
 }
@@ -43,13 +43,13 @@
 
 auto state_edit::undo() -> void
 {
-    for (auto& [ref, image] : this->images) {
+    for (auto& [ref, original] : this->originals) {
         erase_entity(this->current, ref);
         this->current.removed.erase(ref);
     }
-    for (auto& [ref, image] : this->images) {
-        if (image) {
-            set_entity(this->current, *image);
+    for (auto& [ref, original] : this->originals) {
+        if (original) {
+            set_entity(this->current, *original);
         }
         const auto& removal = this->removals.at(ref);
         if (removal) {
@@ -59,9 +59,9 @@
     for (const auto& id : this->new_withdrawals) {
         this->current.withdrawn.erase(id);
     }
-    // A refused organisation may have taken over a key of one that was not touched.
+    // The refused record may have assigned an API key of an untouched organisation to another one.
     index_keys(this->current);
-    this->images.clear();
+    this->originals.clear();
     this->removals.clear();
     this->new_withdrawals.clear();
 }
--- a/source/core/inventory/state_json.cpp
+++ b/source/core/inventory/state_json.cpp
@@ -79,7 +79,7 @@
 
 auto read_offset(object_reader& from, std::string_view name) -> common::log_offset
 {
-    return common::log_offset{from.number_or(name, 0, greatest_integer)};
+    return common::log_offset{from.number_or(name, 0, max_integer)};
 }
 
 auto read_removed(object_reader& from, state& into) -> void
@@ -126,22 +126,21 @@
 auto outcome_from_json(const json::value& source, const std::string& path)
     -> common::result<record_outcome>
 {
-    constexpr std::uint64_t greatest_code = 999;
+    constexpr std::uint64_t max_code = 999;
     object_reader from(source, path);
     record_outcome made;
     made.id = common::record_id{from.id_or_empty("id")};
     made.offset = read_offset(from, "offset");
     made.author = from.text_or_empty("author");
-    made.at =
-        common::wall_time_ms{static_cast<std::int64_t>(from.number_or("at", 0, greatest_integer))};
-    made.code = static_cast<result_code>(from.number_or("code", 0, greatest_code));
+    made.at = common::wall_time_ms{static_cast<std::int64_t>(from.number_or("at", 0, max_integer))};
+    made.code = static_cast<result_code>(from.number_or("code", 0, max_code));
     made.why = from.text_or_empty("why");
     for (const auto& element : from.elements("touched")) {
         object_reader inner(element, from.path_of("touched"));
         made.touched.push_back(read_ref(inner));
         from.adopt(inner.problem());
     }
-    made.touched_count = from.number_or("touched_count", 0, greatest_integer);
+    made.touched_count = from.number_or("touched_count", 0, max_integer);
     auto problem = from.problem();
     if (!problem.empty()) {
         return failure(result_code::invalid_record, std::move(problem));
--- a/source/core/inventory/withdrawal_table.cpp
+++ b/source/core/inventory/withdrawal_table.cpp
@@ -9,7 +9,7 @@
     if (this->items.contains(item.item.version)) {
         return add_step::known;
     }
-    if (this->items.size() >= this->most) {
+    if (this->items.size() >= this->max_size) {
         return add_step::full;
     }
     auto id = item.item.version;
@@ -17,7 +17,7 @@
     return add_step::added;
 }
 
-auto withdrawal_table::settle(state& current) -> void
+auto withdrawal_table::update_state(state& current) -> void
 {
     std::erase_if(this->items, [&current](const auto& entry) {
         return current.withdrawn.contains(entry.first);
@@ -42,42 +42,43 @@
     common::time_point now,
     std::optional<common::time_point> evidence,
     bool is_tailer,
-    common::time_point answer_until) -> std::vector<pending_withdrawal>
+    common::time_point append_deadline) -> std::vector<pending_withdrawal>
 {
     std::vector<pending_withdrawal> due;
     for (auto& [id, item] : this->items) {
-        if (item.answer_until <= now) {
-            this->answered(id, now);
+        if (item.append_deadline <= now) {
+            this->on_append_answered(id, now);
         }
         const auto is_read = evidence.value_or(common::time_point::min()) >= item.read_after;
-        const auto is_idle = item.answer_until == common::never;
+        const auto is_idle = item.append_deadline == common::never;
         const auto is_ours = item.is_own || is_tailer;
         if (is_idle && is_read && is_ours && item.append_at <= now) {
-            item.answer_until = answer_until;
+            item.append_deadline = append_deadline;
             due.push_back(item);
         }
     }
     return due;
 }
 
-auto withdrawal_table::refused(const common::version_id& version, common::time_point append_at)
-    -> void
+auto withdrawal_table::on_append_refused(
+    const common::version_id& version, common::time_point append_at) -> void
 {
     const auto found = this->items.find(version);
     if (found == this->items.end()) {
         return;
     }
-    found->second.answer_until = common::never;
+    found->second.append_deadline = common::never;
     found->second.append_at = append_at;
 }
 
-auto withdrawal_table::answered(const common::version_id& version, common::time_point now) -> void
+auto withdrawal_table::on_append_answered(const common::version_id& version, common::time_point now)
+    -> void
 {
     const auto found = this->items.find(version);
     if (found == this->items.end()) {
         return;
     }
-    found->second.answer_until = common::never;
+    found->second.append_deadline = common::never;
     found->second.read_after = now;
 }
 
--- a/source/core/inventory/withdrawals.hpp
+++ b/source/core/inventory/withdrawals.hpp
@@ -8,12 +8,13 @@
 
 namespace reedramp::inventory {
 
-/// HMAC-SHA-256 (hexadecimal digits) over version and record id with the processes' shared key.
+/// HMAC-SHA-256 of version and record id with the processes' shared key, in hexadecimal digits.
 auto withdrawal_proof(
     std::string_view key, const common::version_id& version, const common::record_id& record)
     -> std::string;
 
-/// Compares in constant time.
-auto is_proven(std::string_view key, const messages::withdrawal& item) -> bool;
+/// Whether the withdrawal's proof is valid; compares in constant time. Always false with an empty
+/// key.
+auto has_valid_proof(std::string_view key, const messages::withdrawal& item) -> bool;
 
 } // namespace reedramp::inventory
--- a/source/unit_tests/inventory/checkpoint_test.cpp
+++ b/source/unit_tests/inventory/checkpoint_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("a checkpoint gives back the whole state", "[checkpoint]")
+TEST_CASE("a checkpoint restores the whole state", "[checkpoint]")
 {
     const auto original = rich_state();
     REQUIRE(original.problems.size() == 2);
@@ -45,7 +45,7 @@
     CHECK(digest(*read) == digest(original));
 }
 
-TEST_CASE("withdrawals that are not in the log are no part of a checkpoint", "[checkpoint]")
+TEST_CASE("a checkpoint does not contain withdrawals that are not in the log", "[checkpoint]")
 {
     auto current = rich_state();
     const auto before = digest(current);
@@ -53,10 +53,10 @@
     CHECK(digest(current) == before);
 }
 
-TEST_CASE("a torn or altered checkpoint is refused", "[checkpoint]")
+TEST_CASE("a truncated or altered checkpoint is refused", "[checkpoint]")
 {
-    // A checkpoint is cut off or altered on its way into the log. A new process that took it would
-    // start from rules that nobody published; it must be passed over, at whatever byte it breaks.
+    // A checkpoint is truncated or altered before it reaches the log. A process that started from
+    // it would use rules that nobody published, so it must be refused wherever the damage is.
     const auto text = format_checkpoint(rich_state());
     for (std::size_t size = 0; size < text.size(); size += 37) {
         CHECK_FALSE(parse_checkpoint(text.substr(0, size)));
@@ -75,7 +75,7 @@
     CHECK(parse_checkpoint(text));
 }
 
-TEST_CASE("a checkpoint in the log changes nothing but the note of it", "[checkpoint]")
+TEST_CASE("a checkpoint in the log changes only the state's checkpoint offset", "[checkpoint]")
 {
     auto current = rich_state();
     const auto before = current;
@@ -84,7 +84,7 @@
     CHECK(current.checkpoint == before.offset);
     CHECK(current.recent == before.recent);
 
-    // One that claims an offset not reached yet is refused by all alike.
+    // A checkpoint of an offset that is not reached yet is refused by all processes.
     auto later = before;
     later.offset = log_offset{100};
     const log_offset after{next.value() + 1};
--- a/source/unit_tests/inventory/fixture.cpp
+++ b/source/unit_tests/inventory/fixture.cpp
@@ -45,33 +45,33 @@
     return made;
 }
 
-world::world() : log(time.clock(), time.timers())
+fixture::fixture() : log(time.clock(), time.timers())
 {
     this->settings.checkpoint_records = 10;
 }
 
-auto world::set_down(bool down) -> void
+auto fixture::set_down(bool down) -> void
 {
     auto faults = this->log.faults();
     faults.down = down;
     this->log.set_faults(faults);
 }
 
-auto world::freeze_replica() -> void
+auto fixture::freeze_replica() -> void
 {
-    this->old_replica = {
+    this->stale_replica = {
         this->log.records(configuration),
         this->log.head(configuration),
         this->log.oldest(configuration)};
 }
 
-auto world::end(const std::string& name) -> void
+auto fixture::end(const std::string& name) -> void
 {
     this->at(name).reader->stop();
-    this->all.erase(name);
+    this->processes.erase(name);
 }
 
-auto world::start(const std::string& name, bool is_tailer) -> process&
+auto fixture::start(const std::string& name, bool is_tailer) -> process&
 {
     auto made = std::make_shared<process>();
     made->is_tailer = is_tailer;
@@ -79,22 +79,23 @@
     made->writer = publisher::create(
         {this->log.hooks(), this->time.clock(), this->time.timers()}, made->reader);
     made->reader->start();
-    this->all[name] = made;
+    this->processes[name] = made;
     return *made;
 }
 
-auto world::names(const std::string& but, bool just_tailers) -> std::vector<messages::rpc_address>
+auto fixture::names(const std::string& except, bool tailers_only)
+    -> std::vector<messages::rpc_address>
 {
     std::vector<messages::rpc_address> found;
-    for (const auto& [name, item] : this->all) {
-        if (name != but && (item->is_tailer || !just_tailers)) {
+    for (const auto& [name, item] : this->processes) {
+        if (name != except && (item->is_tailer || !tailers_only)) {
             found.emplace_back(name);
         }
     }
     return found;
 }
 
-auto world::deliver(std::weak_ptr<process> to, std::function<auto()->void> action) -> void
+auto fixture::deliver(std::weak_ptr<process> to, std::function<auto()->void> action) -> void
 {
     const auto self = to.lock();
     if (!self) {
@@ -109,7 +110,7 @@
     });
 }
 
-auto world::hooks_of(const std::string& name, const std::shared_ptr<process>& self)
+auto fixture::hooks_of(const std::string& name, const std::shared_ptr<process>& self)
     -> follower_hooks
 {
     follower_hooks hooks;
@@ -127,8 +128,8 @@
             this->deliver(weak, [done, answer] { done(answer); });
         };
         const auto reader = weak.lock();
-        if (reader && reader->reads_old_replica) {
-            this->time.at(this->time.now() + 1ms, [this, later] { later(this->old_replica); });
+        if (reader && reader->reads_stale_replica) {
+            this->time.at(this->time.now() + 1ms, [this, later] { later(this->stale_replica); });
             return;
         }
         read(std::move(stream), after, wait, later);
@@ -173,15 +174,15 @@
     return hooks;
 }
 
-auto world::pull(
+auto fixture::pull(
     const std::weak_ptr<process>& from,
     const std::string& to,
     const messages::configuration_pull& pull,
     const messages::answer_hook<messages::configuration_push>& done) -> void
 {
     const auto puller = from.lock();
-    const auto found = this->all.find(to);
-    const auto is_reached = puller && !puller->is_cut_off && found != this->all.end() &&
+    const auto found = this->processes.find(to);
+    const auto is_reached = puller && !puller->is_cut_off && found != this->processes.end() &&
                             !found->second->is_cut_off &&
                             found->second->paused_until <= this->time.now();
     common::result<messages::configuration_push> answer =
@@ -189,35 +190,35 @@
     if (is_reached) {
         answer = found->second->reader->answer(pull);
     }
-    if (this->only_push) {
-        answer = *this->only_push;
+    if (this->fixed_push) {
+        answer = *this->fixed_push;
     }
     this->deliver(from, [done, answer] { done(answer); });
 }
 
-auto world::offset(const std::string& name) -> std::uint64_t
+auto fixture::offset(const std::string& name) -> std::uint64_t
 {
     return this->at(name).reader->snapshot()->offset.value();
 }
 
-auto world::offsets_of(const std::string& name) -> std::vector<std::uint64_t>
+auto fixture::offsets_of(const std::string& name) -> std::vector<std::uint64_t>
 {
-    const auto found = this->all.find(name);
-    return found == this->all.end() ? std::vector<std::uint64_t>{} : found->second->offsets;
+    const auto found = this->processes.find(name);
+    return found == this->processes.end() ? std::vector<std::uint64_t>{} : found->second->offsets;
 }
 
-auto world::serving(const std::string& name, const std::string& version) -> result_code
+auto fixture::serving(const std::string& name, const std::string& version) -> result_code
 {
     const auto& reader = *this->at(name).reader;
     const auto answer = rules::serving(*reader.snapshot(), version_id{version}, reader.freshness());
     return answer ? result_code::ok : answer.error().code;
 }
 
-auto put_changes(world& all, int count) -> void
+auto put_changes(fixture& env, int count) -> void
 {
     for (auto index = 0; index < count; ++index) {
-        const auto base = all.log.head(configuration).value();
-        all.put(record_text("c" + std::to_string(base), base, put_version("v1", index)));
+        const auto base = env.log.head(configuration).value();
+        env.put(record_text("c" + std::to_string(base), base, put_version("v1", index)));
     }
 }
 
--- a/source/unit_tests/inventory/fixture.hpp
+++ b/source/unit_tests/inventory/fixture.hpp
@@ -16,7 +16,7 @@
 #include "platform/fake_log.hpp"
 #include "platform/fake_time.hpp"
 
-/// Short ways to records, and a few followers over a fake log under virtual time.
+/// Helpers to build records, and a fixture that runs followers on a fake log and virtual time.
 namespace reedramp::inventory::testing {
 
 using namespace std::chrono_literals;
@@ -27,7 +27,7 @@
 inline constexpr auto configuration = platform::streams::configuration;
 inline constexpr auto shared_key = "key of the processes";
 
-/// JSON text of a record with these changes (JSON text too).
+/// JSON text of a record with these changes, given as JSON text.
 auto record_text(const std::string& id, std::uint64_t base, const std::string& changes)
     -> std::string;
 
@@ -36,9 +36,10 @@
 
 auto put_version(const std::string& id, int price) -> std::string;
 
-/// The typed form of a record's text, for `publisher`.
+/// Parses a record's text, for `publisher`.
 auto parsed(const std::string& text) -> record;
 
+/// The state after folding these records, from offset 1 on.
 auto folded(const std::vector<std::string>& records) -> state;
 
 /// One process.
@@ -46,56 +47,56 @@
     std::shared_ptr<follower> reader;
     std::shared_ptr<publisher> writer;
     bool is_tailer = true;
-    /// A replica of the log that no longer gets new records answers this process.
-    bool reads_old_replica = false;
-    /// No peer reaches this process, and it reaches none.
+    /// Whether this process reads a replica of the log that gets no new records.
+    bool reads_stale_replica = false;
+    /// Whether pulls between this process and its peers fail.
     bool is_cut_off = false;
-    /// The host is suspended until then: timers and answers wait.
+    /// The host is suspended until then: timers and responses are delayed.
     common::time_point paused_until{};
     /// Offsets of all snapshots, in the order in which they came into force.
     std::vector<std::uint64_t> offsets;
 };
 
-class world {
+class fixture {
 public:
-    world();
+    fixture();
 
-    /// Starts a process. It can be pulled at the address `name`.
+    /// Starts a process, which can be pulled from at the address `name`.
     auto start(const std::string& name, bool is_tailer = true) -> process&;
 
     auto run(common::duration span) -> void { this->time.run_for(span); }
 
-    /// Ends the process; peers no longer reach it.
+    /// Ends the process, which peers can't reach any more.
     auto end(const std::string& name) -> void;
 
-    /// Appends as another process would.
+    /// Appends a record, as another process would.
     auto put(const std::string& text) -> log_offset { return this->log.put(configuration, text); }
 
     auto set_down(bool down) -> void;
 
-    auto at(const std::string& name) -> process& { return *this->all.at(name); }
+    auto at(const std::string& name) -> process& { return *this->processes.at(name); }
 
-    /// From now on the old replica of the log gets no new record.
+    /// Makes the stale replica a copy of the current log; it gets no later records.
     auto freeze_replica() -> void;
 
-    /// Where a process stands.
+    /// Offset of a process's state.
     auto offset(const std::string& name) -> std::uint64_t;
-    /// Offsets of a process's snapshots; empty if there is no such process.
+    /// Offsets of all snapshots of a process; empty if there is no such process.
     auto offsets_of(const std::string& name) -> std::vector<std::uint64_t>;
     auto serving(const std::string& name, const std::string& version) -> result_code;
 
     platform::fake_time time;
     platform::fake_log log;
     follower_settings settings;
-    /// The log gives no more records than this in one answer.
+    /// Maximum number of records in one response of the log.
     std::size_t read_limit = 1000;
-    /// If set, each pull gets this answer.
-    std::optional<messages::configuration_push> only_push;
-    /// Whether processes know which of them tail the log.
+    /// If set, the response to each pull.
+    std::optional<messages::configuration_push> fixed_push;
+    /// Whether processes know which of them are tailers.
     bool knows_tailers = false;
 
 private:
-    auto names(const std::string& but, bool just_tailers) -> std::vector<messages::rpc_address>;
+    auto names(const std::string& except, bool tailers_only) -> std::vector<messages::rpc_address>;
     /// Runs the action as soon as the process is not suspended.
     auto deliver(std::weak_ptr<process> to, std::function<auto()->void> action) -> void;
     auto hooks_of(const std::string& name, const std::shared_ptr<process>& self) -> follower_hooks;
@@ -106,13 +107,13 @@
         const messages::configuration_pull& pull,
         const messages::answer_hook<messages::configuration_push>& done) -> void;
 
-    std::map<std::string, std::shared_ptr<process>> all;
-    /// What a replica that gets no new records holds.
-    platform::read_answer old_replica;
+    std::map<std::string, std::shared_ptr<process>> processes;
+    /// Content of the replica that gets no new records.
+    platform::read_answer stale_replica;
     std::uint64_t seed = 0;
 };
 
 /// Puts records that change v1, each on the newest base.
-auto put_changes(world& all, int count) -> void;
+auto put_changes(fixture& env, int count) -> void;
 
 } // namespace reedramp::inventory::testing
--- a/source/unit_tests/inventory/fold_test.cpp
+++ b/source/unit_tests/inventory/fold_test.cpp
@@ -13,7 +13,7 @@
     /// Folded after `first_record()`, which has offset 1.
     std::vector<std::string> records;
     result_code last;
-    /// Part of the last one's reason.
+    /// Part of the reason of the last one.
     const char* why;
 };
 
@@ -24,7 +24,7 @@
 
 const std::vector<fold_row> fold_rows = {
     {"a change on the newest base", {record_text("a", 1, put_v1)}, result_code::ok, ""},
-    {"two operators race: the second learns who won and what changed",
+    {"two operators race: the second one's error says who won and what changed",
      {record_text("a", 1, put_v1), record_text("b", 1, put_v1)},
      result_code::conflict,
      "version v1 was changed at offset 2 by anna in record a (version v1); base 1"},
@@ -37,10 +37,10 @@
       record_text("b", 1, put_version("v3", 7))},
      result_code::conflict,
      "version v3 was changed at offset 2"},
-    {"a base of the future", {record_text("a", 2, put_v1)}, result_code::invalid_record, "base"},
-    {"torn text", {R"({"id":"a","author":"an)"}, result_code::invalid_record, "not JSON"},
+    {"a base in the future", {record_text("a", 2, put_v1)}, result_code::invalid_record, "base"},
+    {"truncated text", {R"({"id":"a","author":"an)"}, result_code::invalid_record, "not JSON"},
     {"not an object", {"[1]"}, result_code::invalid_record, "must be an object"},
-    {"bytes that are no text", {"\xff\xfe\x01"}, result_code::invalid_record, "not JSON"},
+    {"bytes that aren't valid text", {"\xff\xfe\x01"}, result_code::invalid_record, "not JSON"},
     {"nested deeper than any record",
      {std::string(100000, '[')},
      result_code::invalid_record,
@@ -49,7 +49,7 @@
      {record_text("a", 1, R"({"put":"planet","value":{}})")},
      result_code::invalid_record,
      "known kind"},
-    {"an unknown verb",
+    {"an unknown kind of change",
      {record_text("a", 1, R"({"destroy":"v1"})")},
      result_code::invalid_record,
      "not a known change"},
@@ -57,16 +57,16 @@
      {record_text("a", 1, R"({"put":"version","value":{"id":"v9","model":"m","sensitiv":true}})")},
      result_code::invalid_record,
      "sensitiv is not a known member"},
-    {"a number that is no whole number",
+    {"a number that isn't an integer",
      {record_text(
          "a", 1, R"({"put":"version","value":{"id":"v9","model":"m","prompt_price":1.5}})")},
      result_code::invalid_record,
      "prompt_price"},
-    {"a version of no model",
+    {"a version of an unknown model",
      {record_text("a", 1, R"({"put":"version","value":{"id":"v9","model":"x"}})")},
      result_code::invalid_record,
      "there is no model x"},
-    {"all of a record or nothing",
+    {"all changes of a record or none",
      {record_text("a", 1, put_v1 + R"(,{"remove":"model","id":"m"})")},
      result_code::invalid_record,
      "still used by version"},
@@ -79,22 +79,22 @@
      {record_text("a", 0, withdraw_v1), record_text("b", 2, put_v1)},
      result_code::version_withdrawn,
      "v1"},
-    {"nor once it was removed",
+    {"a withdrawn version never returns, even after its removal",
      {record_text("a", 0, R"({"withdraw":"v3"})"),
       record_text("b", 2, R"({"remove":"version","id":"v3"})"),
       record_text("c", 3, put_version("v3", 1))},
      result_code::version_withdrawn,
      "v3"},
-    {"nor as the target of a roll-out",
+    {"a withdrawn version can't be the target of a roll-out",
      {record_text("a", 0, R"({"withdraw":"v2"})"), record_text("b", 2, start_rollout)},
      result_code::version_withdrawn,
      "v2"},
-    {"one open roll-out of a model",
+    {"only one open roll-out per model",
      {record_text("a", 1, start_rollout),
       record_text("b", 2, R"({"rollout":{"id":"s","model":"m","from":"v1","to":"v3"}})")},
      result_code::invalid_record,
      "roll-out r"},
-    {"a roll-out that has ended stays so",
+    {"a roll-out that has ended can't be resumed",
      {record_text(
           "a", 1, R"({"rollout":{"id":"r","model":"m","from":"v1","to":"v2","status":"aborted"}})"),
       record_text("b", 2, start_rollout)},
@@ -127,7 +127,7 @@
     if (row.last == result_code::ok) {
         return;
     }
-    // A refused record leaves its mark in the lists for operators, and nothing else.
+    // A refused record changes only the lists for operators and the offset.
     CHECK(current.problems.back().offset == current.offset);
     CHECK(current.problems.back().code == row.last);
     current.recent = before.recent;
@@ -147,8 +147,8 @@
 
 TEST_CASE("a refused organisation takes no key from another", "[fold]")
 {
-    // A record gives organisation q the API key of o's owner. It is refused. Were the index of
-    // keys not restored, callers of the first organisation would be refused from then on.
+    // A record that gives organisation q the API key of organisation p is refused. If the index of
+    // keys weren't restored, callers of p would be refused from then on.
     const auto owned = [](const std::string& id) {
         return R"({"put":"organisation","value":{"id":")" + id + R"(","key_hashes":[")" +
                sha256_hex("k") + R"("]}})";
@@ -159,15 +159,15 @@
     CHECK(owner->id.value() == "p");
 }
 
-TEST_CASE("a repeated record changes nothing, remembered or forgotten", "[fold]")
+TEST_CASE("a duplicate record changes nothing, whether or not its outcome is still known", "[fold]")
 {
-    // An operator's tool appends a record twice since the log's answer was lost. The second copy
-    // comes right behind the first, or after so many others that the first is forgotten; it must
-    // not undo what was published in between.
+    // An operator's tool appends a record twice because the log's response was lost. The second
+    // copy follows the first directly, or after so many others that the first one's outcome is
+    // dropped. It must not undo changes that were published in between.
     auto current = folded({first_record(), record_text("a", 1, put_v1)});
     const auto right_behind = apply(current, {log_offset{3}, record_text("a", 1, put_v1)});
     CHECK(right_behind.step == fold_step::no_change);
-    for (std::size_t count = 0; count <= remembered_records; ++count) {
+    for (std::size_t count = 0; count <= max_recent_outcomes; ++count) {
         const auto base = current.offset.value();
         const auto text = record_text("n" + std::to_string(base), base, put_version("v1", 9));
         REQUIRE(apply(current, {log_offset{base + 1}, text}).step == fold_step::accepted);
@@ -175,16 +175,16 @@
     const log_offset late{current.offset.value() + 1};
     CHECK(apply(current, {late, record_text("a", 1, put_v1)}).code == result_code::conflict);
     CHECK(current.versions.at(version_id{"v1"}).prompt_price.value() == 9);
-    CHECK(current.recent.size() == remembered_records);
+    CHECK(current.recent.size() == max_recent_outcomes);
 }
 
-TEST_CASE("a late record can't bring back what was removed and forgotten", "[fold]")
+TEST_CASE("a late record can't restore an entity whose removal is no longer known", "[fold]")
 {
-    // An operator removes v3; its removal is forgotten after many records. A change of v3 with a
-    // base before the removal, delayed on its way into the log, would create v3 anew.
+    // An operator removes v3, and after many records the removal is no longer known. A delayed
+    // change of v3 with a base before the removal must not create v3 again.
     auto current =
         folded({first_record(), record_text("a", 1, R"({"remove":"version","id":"v3"})")});
-    for (std::size_t count = 0; count <= remembered_records; ++count) {
+    for (std::size_t count = 0; count <= max_recent_outcomes; ++count) {
         const log_offset next{current.offset.value() + 1};
         apply(current, {next, record_text("n" + std::to_string(count), 0, withdraw_v1)});
     }
--- a/source/unit_tests/inventory/follower_faults_test.cpp
+++ b/source/unit_tests/inventory/follower_faults_test.cpp
@@ -18,14 +18,14 @@
 
 struct fault_row {
     const char* name;
-    void (*run)(world& all);
+    void (*run)(fixture& env);
 };
 
-/// Checkpoint of what the log holds now; needs all of it.
-auto checkpoint_now(world& all) -> std::string
+/// Checkpoint of the log's current content, none of which may have been trimmed.
+auto current_checkpoint(fixture& env) -> std::string
 {
     state current;
-    for (const auto& item : all.log.records(configuration)) {
+    for (const auto& item : env.log.records(configuration)) {
         apply(current, item);
     }
     return format_checkpoint(current);
@@ -40,344 +40,346 @@
     return digest(current);
 }
 
-auto copies_of(world& all, const std::string& id) -> std::ptrdiff_t
+auto copies_of(fixture& env, const std::string& id) -> std::ptrdiff_t
 {
-    const auto records = all.log.records(configuration);
+    const auto records = env.log.records(configuration);
     return std::ranges::count_if(records, [&id](const messages::log_record& item) {
         return item.data.find("\"id\":\"" + id + "\"") != std::string::npos;
     });
 }
 
-auto order_withdrawal(world& all, const std::string& process, const std::string& version) -> void
+auto withdraw(fixture& env, const std::string& process, const std::string& version) -> void
 {
     const reedramp::common::record_id id{"w-" + version};
-    REQUIRE(all.at(process).reader->withdraw(version_id{version}, id, "anna"));
+    REQUIRE(env.at(process).reader->withdraw(version_id{version}, id, "anna"));
 }
 
-/// A long log whose first records are trimmed, with an older sound checkpoint and this newer one.
-auto check_start_with(world& all, const std::string& newer_checkpoint) -> void
+/// Starts a process on a long log whose first records are trimmed, with an older valid checkpoint
+/// and this newer one, which is invalid.
+auto check_start_with(fixture& env, const std::string& newer_checkpoint) -> void
 {
-    put_changes(all, 30);
-    all.put(checkpoint_now(all));
-    put_changes(all, 8);
-    all.put(newer_checkpoint);
-    put_changes(all, 3);
-    const auto expected = reference(all.log.records(configuration));
-    all.log.trim(configuration, log_offset{25});
-    all.start("a");
-    all.run(1s);
-    REQUIRE(all.at("a").reader->ready());
-    CHECK(digest(*all.at("a").reader->snapshot()) == expected);
-    CHECK(all.at("a").reader->counters().bad_checkpoints == 1);
+    put_changes(env, 30);
+    env.put(current_checkpoint(env));
+    put_changes(env, 8);
+    env.put(newer_checkpoint);
+    put_changes(env, 3);
+    const auto expected = reference(env.log.records(configuration));
+    env.log.trim(configuration, log_offset{25});
+    env.start("a");
+    env.run(1s);
+    REQUIRE(env.at("a").reader->ready());
+    CHECK(digest(*env.at("a").reader->snapshot()) == expected);
+    CHECK(env.at("a").reader->counters().bad_checkpoints == 1);
 }
 
 const std::vector<fault_row> fault_rows = {
-    {"log down when a process starts: a peer gives it the state",
-     [](world& all) {
-         // A new process finds the log down. Its callers get `not_ready` until a peer has given
-         // it a checkpoint; then it serves as the peer does, and refuses what is too old to trust.
-         all.start("a");
-         all.run(1s);
-         all.set_down(true);
-         all.start("b");
-         CHECK_FALSE(all.at("b").reader->ready());
-         all.run(2s);
-         CHECK(all.at("b").reader->ready());
-         CHECK(all.offset("b") == 1);
-         CHECK(all.serving("b", "v2") == ok);
-         all.run(20s);
-         CHECK(all.serving("b", "v2") == stale);
-         CHECK(all.serving("b", "v1") == ok);
+    {"log down when a process starts: a peer sends it the state",
+     [](fixture& env) {
+         // A process starts while the log is down. It responds `not_ready` until a peer has sent it
+         // a checkpoint. Then it serves as the peer does, and refuses work that needs a current
+         // configuration once the evidence is too old.
+         env.start("a");
+         env.run(1s);
+         env.set_down(true);
+         env.start("b");
+         CHECK_FALSE(env.at("b").reader->ready());
+         env.run(2s);
+         CHECK(env.at("b").reader->ready());
+         CHECK(env.offset("b") == 1);
+         CHECK(env.serving("b", "v2") == ok);
+         env.run(20s);
+         CHECK(env.serving("b", "v2") == stale);
+         CHECK(env.serving("b", "v1") == ok);
      }},
     {"log down and no peer: not ready until the log returns",
-     [](world& all) {
-         all.set_down(true);
-         all.start("a");
-         all.run(60s);
-         CHECK_FALSE(all.at("a").reader->ready());
-         CHECK(all.at("a").reader->snapshot()->versions.empty());
-         all.set_down(false);
-         all.run(3s);
-         CHECK(all.serving("a", "v2") == ok);
+     [](fixture& env) {
+         env.set_down(true);
+         env.start("a");
+         env.run(60s);
+         CHECK_FALSE(env.at("a").reader->ready());
+         CHECK(env.at("a").reader->snapshot()->versions.empty());
+         env.set_down(false);
+         env.run(3s);
+         CHECK(env.serving("a", "v2") == ok);
      }},
-    {"two new processes don't take each other for ready",
-     [](world& all) {
-         // All processes restart while the log is down. None has a state; were an empty answer
-         // taken as one, callers would be told that their models do not exist.
-         all.set_down(true);
-         all.start("a");
-         all.start("b", false);
-         all.run(30s);
-         CHECK_FALSE(all.at("a").reader->ready());
-         CHECK_FALSE(all.at("b").reader->ready());
+    {"two starting processes don't consider each other ready",
+     [](fixture& env) {
+         // All processes restart while the log is down, and none has a state. If an empty response
+         // were used as a state, callers would be told that their models do not exist.
+         env.set_down(true);
+         env.start("a");
+         env.start("b", false);
+         env.run(30s);
+         CHECK_FALSE(env.at("a").reader->ready());
+         CHECK_FALSE(env.at("b").reader->ready());
      }},
-    {"log slow: in force late, and evidence counts from the question",
-     [](world& all) {
-         // Each answer of the log takes 3 s. A change is in force after the answer that is under
-         // way and one more; an answer says nothing of the 3 s that it was under way, so they
-         // count against freshness.
-         auto faults = all.log.faults();
+    {"log slow: changes are in force late, and evidence counts from the request",
+     [](fixture& env) {
+         // Each response of the log takes 3 s. A change is in force after the response in flight
+         // and the next one. A response is no evidence for the 3 s that it took, so they count
+         // against the freshness.
+         auto faults = env.log.faults();
          faults.slow = 3s;
-         all.log.set_faults(faults);
-         all.start("a");
-         all.run(15s);
-         REQUIRE(all.at("a").reader->ready());
-         put_changes(all, 1);
-         all.run(7s);
-         CHECK(all.offset("a") == 2);
-         CHECK(all.at("a").reader->evidence_time() <= all.time.now() - 3s);
-         CHECK(all.serving("a", "v2") == ok);
+         env.log.set_faults(faults);
+         env.start("a");
+         env.run(15s);
+         REQUIRE(env.at("a").reader->ready());
+         put_changes(env, 1);
+         env.run(7s);
+         CHECK(env.offset("a") == 2);
+         CHECK(env.at("a").reader->evidence_time() <= env.time.now() - 3s);
+         CHECK(env.serving("a", "v2") == ok);
      }},
-    {"log gives its records piece by piece: not current before the last piece",
-     [](world& all) {
-         // A process wakes far behind, and the log gives three records an answer. What it has in
-         // between is an old configuration; new sessions on a roll-out wait for the newest one.
-         auto& late = all.start("a");
-         all.run(1s);
-         late.paused_until = all.time.now() + 60s;
-         put_changes(all, 30);
-         all.read_limit = 3;
-         auto faults = all.log.faults();
+    {"log returns its records in parts: not current before the last part",
+     [](fixture& env) {
+         // A process resumes far behind, and the log returns three records per response. Until the
+         // last one its configuration is outdated, so it must not open new sessions on a roll-out.
+         auto& late = env.start("a");
+         env.run(1s);
+         late.paused_until = env.time.now() + 60s;
+         put_changes(env, 30);
+         env.read_limit = 3;
+         auto faults = env.log.faults();
          faults.slow = 100ms;
-         all.log.set_faults(faults);
-         all.run(60s);
-         auto looks = 0;
-         while (all.offset("a") < 31) {
-             CHECK(all.serving("a", "v2") == stale);
-             all.run(10ms);
-             REQUIRE(++looks < 1000);
+         env.log.set_faults(faults);
+         env.run(60s);
+         auto checks = 0;
+         while (env.offset("a") < 31) {
+             CHECK(env.serving("a", "v2") == stale);
+             env.run(10ms);
+             REQUIRE(++checks < 1000);
          }
-         CHECK(looks > 10);
-         all.run(1s);
-         CHECK(all.serving("a", "v2") == ok);
+         CHECK(checks > 10);
+         env.run(1s);
+         CHECK(env.serving("a", "v2") == ok);
      }},
-    {"log down past the freshness: what is stable goes on",
-     [](world& all) {
-         all.start("a");
-         all.run(1s);
-         all.set_down(true);
-         all.run(16s);
-         CHECK(all.serving("a", "v1") == ok);
-         CHECK(all.serving("a", "v2") == stale);
-         CHECK(all.serving("a", "v3") == stale);
-         all.set_down(false);
-         all.run(4s);
-         CHECK(all.serving("a", "v2") == ok);
+    {"log down for longer than the freshness: stable versions are still served",
+     [](fixture& env) {
+         env.start("a");
+         env.run(1s);
+         env.set_down(true);
+         env.run(16s);
+         CHECK(env.serving("a", "v1") == ok);
+         CHECK(env.serving("a", "v2") == stale);
+         CHECK(env.serving("a", "v3") == stale);
+         env.set_down(false);
+         env.run(4s);
+         CHECK(env.serving("a", "v2") == ok);
      }},
-    {"process paused past its freshness: an answer from before the pause renews nothing",
-     [](world& all) {
-         // A host is suspended for a minute while a read is under way; meanwhile a roll-out may
-         // have been paused. It wakes, gets the old answer first, and must not send new sessions to
-         // the version until it has asked anew.
-         auto& paused = all.start("a");
-         all.run(1s);
-         REQUIRE(all.serving("a", "v2") == ok);
-         paused.paused_until = all.time.now() + 60s;
-         all.run(59s);
-         put_changes(all, 1);
-         CHECK(all.serving("a", "v2") == stale);
-         auto faults = all.log.faults();
+    {"process paused past its freshness: a response from before the pause is no new evidence",
+     [](fixture& env) {
+         // A host is suspended for a minute while a read is in flight, and a roll-out may be paused
+         // meanwhile. After it resumes, it processes the old response first, and must not send new
+         // sessions to the version before it has read the log again.
+         auto& paused = env.start("a");
+         env.run(1s);
+         REQUIRE(env.serving("a", "v2") == ok);
+         paused.paused_until = env.time.now() + 60s;
+         env.run(59s);
+         put_changes(env, 1);
+         CHECK(env.serving("a", "v2") == stale);
+         auto faults = env.log.faults();
          faults.slow = 500ms;
-         all.log.set_faults(faults);
-         all.run(1s + 400ms);
-         CHECK(all.serving("a", "v2") == stale);
-         all.run(2s);
-         CHECK(all.serving("a", "v2") == ok);
-         CHECK(all.offset("a") == 2);
+         env.log.set_faults(faults);
+         env.run(1s + 400ms);
+         CHECK(env.serving("a", "v2") == stale);
+         env.run(2s);
+         CHECK(env.serving("a", "v2") == ok);
+         CHECK(env.offset("a") == 2);
      }},
-    {"log trimmed past the reader: a checkpoint leads on",
-     [](world& all) {
-         // A process is suspended for so long that the log has dropped the records after its
-         // offset. It goes on from the checkpoint in the log, forward, and tells no one otherwise.
-         auto& paused = all.start("a");
-         all.run(1s);
-         paused.paused_until = all.time.now() + 60s;
-         put_changes(all, 30);
-         all.put(checkpoint_now(all));
-         put_changes(all, 2);
-         const auto expected = reference(all.log.records(configuration));
-         all.log.trim(configuration, log_offset{20});
-         all.run(70s);
-         CHECK(all.offset("a") == all.log.head(configuration).value());
+    {"log trimmed past the reader: it continues from a checkpoint",
+     [](fixture& env) {
+         // A process is suspended for so long that the log has trimmed the records after its
+         // offset. It must continue from the checkpoint in the log without its offset decreasing.
+         auto& paused = env.start("a");
+         env.run(1s);
+         paused.paused_until = env.time.now() + 60s;
+         put_changes(env, 30);
+         env.put(current_checkpoint(env));
+         put_changes(env, 2);
+         const auto expected = reference(env.log.records(configuration));
+         env.log.trim(configuration, log_offset{20});
+         env.run(70s);
+         CHECK(env.offset("a") == env.log.head(configuration).value());
          CHECK(digest(*paused.reader->snapshot()) == expected);
-         CHECK(all.serving("a", "v2") == ok);
+         CHECK(env.serving("a", "v2") == ok);
      }},
-    {"log trimmed without a checkpoint: only a peer leads on",
-     [](world& all) {
-         all.start("a");
-         put_changes(all, 30);
-         all.run(1s);
-         all.log.trim(configuration, log_offset{20});
-         all.at("a").is_cut_off = true;
-         all.start("b");
-         all.run(30s);
-         CHECK_FALSE(all.at("b").reader->ready());
-         CHECK(all.at("a").reader->checkpoint_due());
-         all.at("a").is_cut_off = false;
-         all.run(3s);
-         CHECK(all.serving("b", "v2") == ok);
-         CHECK(all.offset("b") == all.offset("a"));
+    {"log trimmed without a checkpoint: only a peer can provide the state",
+     [](fixture& env) {
+         env.start("a");
+         put_changes(env, 30);
+         env.run(1s);
+         env.log.trim(configuration, log_offset{20});
+         env.at("a").is_cut_off = true;
+         env.start("b");
+         env.run(30s);
+         CHECK_FALSE(env.at("b").reader->ready());
+         CHECK(env.at("a").reader->checkpoint_due());
+         env.at("a").is_cut_off = false;
+         env.run(3s);
+         CHECK(env.serving("b", "v2") == ok);
+         CHECK(env.offset("b") == env.offset("a"));
      }},
-    {"newest checkpoint torn: an older one is taken",
-     [](world& all) {
+    {"newest checkpoint truncated: an older one is used",
+     [](fixture& env) {
          const auto whole = format_checkpoint(folded({first_record()}));
-         check_start_with(all, whole.substr(0, whole.size() / 2));
+         check_start_with(env, whole.substr(0, whole.size() / 2));
      }},
-    {"newest checkpoint with a wrong digest: an older one is taken",
-     [](world& all) {
-         // A checkpoint that lets v2 be stable, under the digest of one in which it is not.
+    {"newest checkpoint with a wrong digest: an older one is used",
+     [](fixture& env) {
+         // The checkpoint says that v2 is stable, with the digest of a state in which it is not.
          auto altered = format_checkpoint(folded({first_record()}));
          const std::string from = R"("stage":"rollout")";
          altered.replace(altered.find(from), from.size(), R"("stage":"stable")");
-         check_start_with(all, altered);
+         check_start_with(env, altered);
      }},
-    {"peer offers an older state: nobody goes back",
-     [](world& all) {
-         // b is cut off from the log and behind. a pulls it each second; a's callers must not see
-         // the older rules again, and b's word must not count as evidence that a is current.
-         auto& old = all.start("b");
-         all.run(1s);
-         old.reads_old_replica = true;
+    {"peer offers an older state: no process goes back",
+     [](fixture& env) {
+         // b can't read new records and is behind. a pulls from it every second. a must not return
+         // to the older state, and b's responses must not count as evidence that a is current.
+         auto& old = env.start("b");
+         env.run(1s);
+         old.reads_stale_replica = true;
          old.is_cut_off = true;
-         all.freeze_replica();
-         put_changes(all, 5);
-         all.start("a");
-         all.run(1s);
-         REQUIRE(all.offset("a") == 6);
-         all.set_down(true);
+         env.freeze_replica();
+         put_changes(env, 5);
+         env.start("a");
+         env.run(1s);
+         REQUIRE(env.offset("a") == 6);
+         env.set_down(true);
          old.is_cut_off = false;
-         all.run(20s);
-         CHECK(all.offset("a") == 6);
-         CHECK(all.offset("b") == 6);
-         CHECK(all.serving("a", "v2") == stale);
+         env.run(20s);
+         CHECK(env.offset("a") == 6);
+         CHECK(env.offset("b") == 6);
+         CHECK(env.serving("a", "v2") == stale);
      }},
     {"stale replica of the log: no step back, no evidence",
-     [](world& all) {
-         // The log's front sends a reader to a replica that gets no new records. The reader has
-         // newer ones already; what the replica says is neither taken nor believed to be current.
-         auto& reader = all.start("a");
-         all.run(1s);
-         all.freeze_replica();
-         put_changes(all, 3);
-         all.run(1s);
-         REQUIRE(all.offset("a") == 4);
-         reader.reads_old_replica = true;
-         all.run(20s);
-         CHECK(all.offset("a") == 4);
+     [](fixture& env) {
+         // The log directs a reader to a replica that gets no new records. The reader has newer
+         // records already, and must neither use the replica's content nor consider it current.
+         auto& reader = env.start("a");
+         env.run(1s);
+         env.freeze_replica();
+         put_changes(env, 3);
+         env.run(1s);
+         REQUIRE(env.offset("a") == 4);
+         reader.reads_stale_replica = true;
+         env.run(20s);
+         CHECK(env.offset("a") == 4);
          CHECK(reader.reader->counters().stale_answers > 0);
-         CHECK(all.serving("a", "v2") == stale);
-         reader.reads_old_replica = false;
-         all.run(3s);
-         CHECK(all.serving("a", "v2") == ok);
+         CHECK(env.serving("a", "v2") == stale);
+         reader.reads_stale_replica = false;
+         env.run(3s);
+         CHECK(env.serving("a", "v2") == ok);
      }},
-    {"withdrawal while the log is down: peers pass it on, its taker appends it",
-     [](world& all) {
+    {"withdrawal while the log is down: peers pass it on, its receiver appends it",
+     [](fixture& env) {
          // An operator withdraws v1 at entry a while the log is down. Within 2 s no process takes
-         // new work for it. Once the log is back the record is there, once, and for good.
-         all.start("a");
-         all.start("b", false);
-         all.start("c", false);
-         all.run(2s);
-         all.set_down(true);
-         order_withdrawal(all, "a", "v1");
-         CHECK(all.serving("a", "v1") == withdrawn);
-         all.run(2s);
-         CHECK(all.serving("b", "v1") == withdrawn);
-         CHECK(all.serving("c", "v1") == withdrawn);
-         all.start("d", false);
-         all.run(30s);
-         CHECK(all.serving("d", "v1") == withdrawn);
-         all.set_down(false);
-         all.run(20s);
-         CHECK(copies_of(all, "w-v1") == 1);
-         CHECK(all.at("c").reader->snapshot()->withdrawn.contains(version_id{"v1"}));
-         CHECK(all.at("c").reader->snapshot()->withdrawn_early.empty());
+         // new work for it. Once the log is back, it must contain the record exactly once.
+         env.start("a");
+         env.start("b", false);
+         env.start("c", false);
+         env.run(2s);
+         env.set_down(true);
+         withdraw(env, "a", "v1");
+         CHECK(env.serving("a", "v1") == withdrawn);
+         env.run(2s);
+         CHECK(env.serving("b", "v1") == withdrawn);
+         CHECK(env.serving("c", "v1") == withdrawn);
+         env.start("d", false);
+         env.run(30s);
+         CHECK(env.serving("d", "v1") == withdrawn);
+         env.set_down(false);
+         env.run(20s);
+         CHECK(copies_of(env, "w-v1") == 1);
+         CHECK(env.at("c").reader->snapshot()->withdrawn.contains(version_id{"v1"}));
+         CHECK(env.at("c").reader->snapshot()->withdrawn_early.empty());
      }},
-    {"withdrawal whose taker is lost before the log is back: a tailer appends it",
-     [](world& all) {
-         all.start("a");
-         all.start("b");
-         all.start("c", false);
-         all.run(2s);
-         all.set_down(true);
-         order_withdrawal(all, "a", "v1");
-         all.run(2s);
-         all.end("a");
-         all.run(10s);
-         CHECK(all.serving("b", "v1") == withdrawn);
-         all.set_down(false);
-         all.run(30s);
-         CHECK(copies_of(all, "w-v1") == 1);
-         CHECK(all.at("c").reader->snapshot()->withdrawn.contains(version_id{"v1"}));
+    {"withdrawal whose receiver is lost before the log is back: a tailer appends it",
+     [](fixture& env) {
+         env.start("a");
+         env.start("b");
+         env.start("c", false);
+         env.run(2s);
+         env.set_down(true);
+         withdraw(env, "a", "v1");
+         env.run(2s);
+         env.end("a");
+         env.run(10s);
+         CHECK(env.serving("b", "v1") == withdrawn);
+         env.set_down(false);
+         env.run(30s);
+         CHECK(copies_of(env, "w-v1") == 1);
+         CHECK(env.at("c").reader->snapshot()->withdrawn.contains(version_id{"v1"}));
      }},
-    {"answer to a withdrawal's append lost: read on, no second copy",
-     [](world& all) {
-         all.start("a");
-         all.run(1s);
-         auto faults = all.log.faults();
+    {"response to a withdrawal's append lost: the log is read, no second copy is appended",
+     [](fixture& env) {
+         env.start("a");
+         env.run(1s);
+         auto faults = env.log.faults();
          faults.lose_answer_every = 1;
-         all.log.set_faults(faults);
-         order_withdrawal(all, "a", "v1");
-         all.run(20s);
-         CHECK(copies_of(all, "w-v1") == 1);
-         CHECK(all.at("a").reader->snapshot()->withdrawn.contains(version_id{"v1"}));
+         env.log.set_faults(faults);
+         withdraw(env, "a", "v1");
+         env.run(20s);
+         CHECK(copies_of(env, "w-v1") == 1);
+         CHECK(env.at("a").reader->snapshot()->withdrawn.contains(version_id{"v1"}));
      }},
-    {"withdrawal without proof: nobody believes it",
-     [](world& all) {
-         // Something that does not know the processes' key tells a to withdraw v1. Callers of v1
-         // must not be refused for it.
-         all.start("a");
-         all.run(1s);
+    {"withdrawal without a valid proof: ignored",
+     [](fixture& env) {
+         // A sender that does not know the processes' key sends a withdrawal of v1 to a. Callers of
+         // v1 must still be served.
+         env.start("a");
+         env.run(1s);
          messages::configuration_pull forged;
          const reedramp::common::record_id id{"x"};
          const auto proof = withdrawal_proof("another key", version_id{"v1"}, id);
          forged.withdrawals.push_back({version_id{"v1"}, id, proof});
-         all.at("a").reader->answer(forged);
-         CHECK(all.serving("a", "v1") == ok);
-         CHECK(all.at("a").reader->counters().forged_withdrawals == 1);
+         env.at("a").reader->answer(forged);
+         CHECK(env.serving("a", "v1") == ok);
+         CHECK(env.at("a").reader->counters().forged_withdrawals == 1);
          forged.withdrawals.front().proof = withdrawal_proof(shared_key, version_id{"v1"}, id);
-         all.at("a").reader->answer(forged);
-         CHECK(all.serving("a", "v1") == withdrawn);
+         env.at("a").reader->answer(forged);
+         CHECK(env.serving("a", "v1") == withdrawn);
      }},
-    {"withdrawal from a peer that outruns a pull of the older state",
-     [](world& all) {
-         // b holds v1 withdrawn by a peer when it falls back on a checkpoint that does not say so.
-         // The version must not come back in between.
-         all.start("a");
-         auto& late = all.start("b", false);
-         all.run(2s);
-         all.set_down(true);
-         order_withdrawal(all, "b", "v1");
-         put_changes(all, 1500);
+    {"withdrawal from a peer that arrives before an older checkpoint is loaded",
+     [](fixture& env) {
+         // v1 is withdrawn at b but not in the log yet when b loads a checkpoint without the
+         // withdrawal. The version must not be served in between.
+         env.start("a");
+         auto& late = env.start("b", false);
+         env.run(2s);
+         env.set_down(true);
+         withdraw(env, "b", "v1");
+         put_changes(env, 1500);
          late.is_cut_off = true;
          late.is_tailer = true;
-         all.log.trim(configuration, log_offset{1400});
-         all.put(format_checkpoint(folded({first_record()})));
-         all.set_down(false);
+         env.log.trim(configuration, log_offset{1400});
+         env.put(format_checkpoint(folded({first_record()})));
+         env.set_down(false);
          for (auto count = 0; count < 100; ++count) {
-             all.run(100ms);
-             REQUIRE(all.serving("b", "v1") == withdrawn);
+             env.run(100ms);
+             REQUIRE(env.serving("b", "v1") == withdrawn);
          }
      }},
     {"all tailers lost: the others read the log themselves",
-     [](world& all) {
-         all.start("a");
-         all.start("b", false);
-         all.run(3s);
-         all.end("a");
-         put_changes(all, 1);
-         all.run(10s);
-         CHECK(all.offset("b") == 2);
-         CHECK(all.serving("b", "v2") == ok);
+     [](fixture& env) {
+         env.start("a");
+         env.start("b", false);
+         env.run(3s);
+         env.end("a");
+         put_changes(env, 1);
+         env.run(10s);
+         CHECK(env.offset("b") == 2);
+         CHECK(env.serving("b", "v2") == ok);
      }},
 };
 
-/// What a peer may answer to a process that is at offset 3 and has lost the log.
+/// A peer's response to a process that is at offset 3 and can't reach the log.
 struct push_row {
     const char* name;
     messages::configuration_push push;
     std::uint64_t offset;
-    /// Whether the answer renews the freshness.
+    /// Whether the response renews the freshness.
     bool is_current;
 };
 
@@ -398,15 +400,15 @@
     return {
         {"nothing new", {log_offset{3}, 1s, {}, {}, {}}, 3, true},
         {"evidence that is too old", {log_offset{3}, 16s, {}, {}, {}}, 3, false},
-        {"evidence of the future", {log_offset{3}, -1h, {}, {}, {}}, 3, false},
+        {"evidence from the future", {log_offset{3}, -1h, {}, {}, {}}, 3, false},
         {"no evidence", {log_offset{3}, common::duration::max(), {}, {}, {}}, 3, false},
-        {"an older state, said to be current", {log_offset{2}, 1s, {}, {}, {}}, 3, false},
+        {"an older state, claimed to be current", {log_offset{2}, 1s, {}, {}, {}}, 3, false},
         {"an older checkpoint", {log_offset{1}, 1s, {}, older, {}}, 3, false},
         {"a checkpoint older than claimed", {log_offset{4}, 1s, {}, older, {}}, 3, false},
         {"a newer checkpoint", {log_offset{9}, 1s, {}, newer, {}}, 9, true},
-        {"a torn checkpoint", {log_offset{9}, 1s, {}, torn, {}}, 3, false},
+        {"a truncated checkpoint", {log_offset{9}, 1s, {}, torn, {}}, 3, false},
         {"two records", {log_offset{5}, 1s, {change_at(4), change_at(5)}, {}, {}}, 5, true},
-        {"records that are here already",
+        {"records that are folded already",
          {log_offset{4}, 1s, {change_at(2), change_at(3), change_at(4)}, {}, {}},
          4,
          true},
@@ -416,61 +418,62 @@
 
 } // namespace
 
-TEST_CASE("what a peer says is taken only as far as it leads on", "[faults]")
+TEST_CASE("a peer's response is used only as far as it advances the state", "[faults]")
 {
-    // A peer may be behind, may have been suspended, or may run a defect. The process asks it
-    // with the log down; it must neither go back nor believe to be current without good reason.
+    // A peer may be behind, may have been suspended, or may be faulty. The process pulls from it
+    // while the log is down, and must neither go back nor consider itself current without evidence.
     for (const auto& row : push_rows()) {
         INFO(row.name);
-        world all;
-        all.put(first_record());
-        put_changes(all, 2);
-        all.start("a");
-        all.start("peer", false);
-        all.run(2s);
-        REQUIRE(all.offset("a") == 3);
-        all.set_down(true);
-        all.only_push = row.push;
-        all.run(20s);
-        CHECK(all.offset("a") == row.offset);
-        CHECK((all.serving("a", "v2") == ok) == row.is_current);
-        CHECK(std::ranges::is_sorted(all.offsets_of("a")));
+        fixture env;
+        env.put(first_record());
+        put_changes(env, 2);
+        env.start("a");
+        env.start("peer", false);
+        env.run(2s);
+        REQUIRE(env.offset("a") == 3);
+        env.set_down(true);
+        env.fixed_push = row.push;
+        env.run(20s);
+        CHECK(env.offset("a") == row.offset);
+        CHECK((env.serving("a", "v2") == ok) == row.is_current);
+        CHECK(std::ranges::is_sorted(env.offsets_of("a")));
     }
 }
 
-TEST_CASE("the follower's faults", "[faults]")
+TEST_CASE("the follower under faults of the log, the hosts and its peers", "[faults]")
 {
     for (const auto& row : fault_rows) {
         INFO(row.name);
-        world all;
-        all.put(first_record());
-        row.run(all);
+        fixture env;
+        env.put(first_record());
+        row.run(env);
         for (const auto* name : {"a", "b", "c", "d"}) {
-            const auto& offsets = all.offsets_of(name);
+            const auto& offsets = env.offsets_of(name);
             CHECK(std::ranges::is_sorted(offsets));
         }
     }
 }
 
-TEST_CASE("few read the log, the others learn from peers within seconds", "[follower]")
+TEST_CASE(
+    "few processes read the log, the others get changes from peers within seconds", "[follower]")
 {
     const auto knows_tailers = GENERATE(false, true);
-    world all;
-    all.knows_tailers = knows_tailers;
-    all.put(first_record());
-    all.start("tailer");
+    fixture env;
+    env.knows_tailers = knows_tailers;
+    env.put(first_record());
+    env.start("tailer");
     for (auto index = 0; index < 20; ++index) {
-        all.start("p" + std::to_string(index), false);
+        env.start("p" + std::to_string(index), false);
     }
-    all.run(10s);
-    put_changes(all, 1);
-    all.run(knows_tailers ? 5s : 8s);
+    env.run(10s);
+    put_changes(env, 1);
+    env.run(knows_tailers ? 5s : 8s);
     std::uint64_t other_reads = 0;
     for (auto index = 0; index < 20; ++index) {
         const auto name = "p" + std::to_string(index);
-        CHECK(all.offset(name) == 2);
-        CHECK(all.serving(name, "v2") == ok);
-        other_reads += all.at(name).reader->counters().log_reads;
+        CHECK(env.offset(name) == 2);
+        CHECK(env.serving(name, "v2") == ok);
+        other_reads += env.at(name).reader->counters().log_reads;
     }
     CHECK(other_reads < 20);
 }
--- a/source/unit_tests/inventory/follower_search_test.cpp
+++ b/source/unit_tests/inventory/follower_search_test.cpp
@@ -5,34 +5,34 @@
 using namespace reedramp::inventory;
 using namespace reedramp::inventory::testing;
 
-TEST_CASE("a peer's older state in the middle of the search of the log", "[faults]")
+TEST_CASE("a peer's older state arrives during the scan of the log", "[faults]")
 {
-    // A new process searches the log for a checkpoint near the head and reads from offset 21 on. A
-    // peer that is far behind answers first, with the state at offset 5. Were the records from 22
-    // on folded into that, version v9, put at offset 6, would be missing here for good, and callers
-    // who ask for it would be refused by this process alone.
-    world all;
-    all.put(first_record());
-    auto& old = all.start("old");
-    put_changes(all, 4);
-    all.run(1s);
-    all.freeze_replica();
-    old.reads_old_replica = true;
-    all.run(2s);
-    all.put(record_text("new-version", 5, put_version("v9", 1)));
-    put_changes(all, 35);
+    // A starting process scans the log for a checkpoint near the head, reading from offset 21 on. A
+    // peer that is far behind responds first, with the state at offset 5. If the records from 22 on
+    // were folded into that state, version v9, put at offset 6, would be missing permanently, and
+    // only this process would refuse requests for it.
+    fixture env;
+    env.put(first_record());
+    auto& old = env.start("old");
+    put_changes(env, 4);
+    env.run(1s);
+    env.freeze_replica();
+    old.reads_stale_replica = true;
+    env.run(2s);
+    env.put(record_text("new-version", 5, put_version("v9", 1)));
+    put_changes(env, 35);
     old.is_cut_off = true;
-    auto faults = all.log.faults();
+    auto faults = env.log.faults();
     faults.slow = 400ms;
-    all.log.set_faults(faults);
-    all.start("new");
-    all.run(450ms);
-    REQUIRE_FALSE(all.at("new").reader->ready());
+    env.log.set_faults(faults);
+    env.start("new");
+    env.run(450ms);
+    REQUIRE_FALSE(env.at("new").reader->ready());
     old.is_cut_off = false;
-    all.run(300ms);
-    REQUIRE(all.offset("new") == 5);
-    all.run(3s);
-    CHECK(all.offset("new") == 41);
-    CHECK(all.serving("new", "v9") == result_code::ok);
-    CHECK(all.serving("new", "v1") == result_code::ok);
+    env.run(300ms);
+    REQUIRE(env.offset("new") == 5);
+    env.run(3s);
+    CHECK(env.offset("new") == 41);
+    CHECK(env.serving("new", "v9") == result_code::ok);
+    CHECK(env.serving("new", "v1") == result_code::ok);
 }
--- a/source/unit_tests/inventory/follower_threads_test.cpp
+++ b/source/unit_tests/inventory/follower_threads_test.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::uint64_t last_offset = 200;
 
-/// A log whose reads wait until the test answers them, on whatever thread.
-class held_log {
+/// A log whose reads block until the test responds to them, from any thread.
+class blocking_log {
 public:
     auto hooks() -> platform::log_hooks
     {
@@ -53,7 +53,7 @@
     std::optional<platform::answer_hook<platform::read_answer>> waiting;
 };
 
-auto make_reader(held_log& log) -> std::shared_ptr<follower>
+auto make_reader(blocking_log& log) -> std::shared_ptr<follower>
 {
     follower_hooks hooks;
     hooks.log = log.hooks();
@@ -84,18 +84,18 @@
 
 } // namespace
 
-TEST_CASE("threads that decide see only forward steps while others feed", "[threads]")
+TEST_CASE("the snapshot never goes back for threads that read it during updates", "[threads]")
 {
-    // Requests are decided on several threads while answers of the log and of peers come on
-    // others. No thread may see an older configuration after a newer one, nor a torn one; a
-    // sanitizer run of this test shows data races.
-    held_log log;
+    // Several threads read the snapshot for requests while responses of the log and of peers arrive
+    // on others. No thread may see an older configuration after a newer one, or a partly updated
+    // one. A run with a sanitizer shows data races.
+    blocking_log log;
     const auto reader = make_reader(log);
     reader->start();
     std::atomic<bool> has_gone_back = false;
-    std::vector<std::thread> deciders;
+    std::vector<std::thread> readers;
     for (auto index = 0; index < 4; ++index) {
-        deciders.emplace_back([&] {
+        readers.emplace_back([&] {
             std::uint64_t seen = 0;
             while (seen < last_offset) {
                 const auto current = reader->snapshot();
@@ -120,7 +120,7 @@
             record_text("r" + std::to_string(offset), offset - 1, put_version("v1", 1));
         page = {{{log_offset{offset}, text}}, log_offset{offset}, log_offset{1}};
     }
-    for (auto& thread : deciders) {
+    for (auto& thread : readers) {
         thread.join();
     }
     CHECK_FALSE(has_gone_back);
--- a/source/unit_tests/inventory/full_size_test.cpp
+++ b/source/unit_tests/inventory/full_size_test.cpp
@@ -42,7 +42,7 @@
            R"("limits":{"requests":6000,"tokens":5000000,"money":90000000}}})";
 }
 
-/// Everything in one record, as an import gives it.
+/// One record with all entities, as an import makes it.
 auto full_record() -> std::string
 {
     std::string changes = R"({"put":"model","value":{"id":"m"}})";
@@ -58,11 +58,11 @@
     return record_text("full", 0, changes);
 }
 
-/// A state at full size whose lists of outcomes are full too.
+/// A state of full size whose list of recent outcomes is full too.
 auto full_state() -> state
 {
     auto made = folded({full_record()});
-    for (std::size_t count = 0; count < remembered_records; ++count) {
+    for (std::size_t count = 0; count < max_recent_outcomes; ++count) {
         const auto base = made.offset.value();
         const auto id = numbered("record", static_cast<int>(base));
         const log_offset next{base + 1};
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("the state at full size is accepted and fits its checkpoint", "[full]")
+TEST_CASE("a state of full size is accepted and fits into a checkpoint", "[full]")
 {
     const auto current = full_state();
     CHECK(current.servers.size() == server_count);
@@ -94,7 +94,7 @@
     CHECK(parse_checkpoint(text));
 }
 
-TEST_CASE("figures of the fold at full size", "[.bench]")
+TEST_CASE("performance of the fold at full size", "[.bench]")
 {
     auto current = full_state();
     std::vector<std::string> texts;
@@ -130,35 +130,35 @@
     report("checkpoint_parse_ms", seconds_since(begin) * 1000, "ms");
 }
 
-TEST_CASE("how long a change takes to all of a fleet, on virtual time", "[.bench]")
+TEST_CASE("time for a change to reach all processes of a fleet, on virtual time", "[.bench]")
 {
-    // Processes of one fleet in one world; each pull takes 1 ms. Not a run over the network.
+    // All processes run in one simulation, without a network; each pull takes 1 ms.
     constexpr auto process_count = 1000;
     const auto tailer_count = GENERATE(18, 60);
     const auto knows_tailers = GENERATE(false, true);
-    world all;
-    all.knows_tailers = knows_tailers;
-    all.put(first_record());
+    fixture env;
+    env.knows_tailers = knows_tailers;
+    env.put(first_record());
     for (auto number = 0; number < process_count; ++number) {
-        all.start(numbered("p", number), number < tailer_count);
+        env.start(numbered("p", number), number < tailer_count);
     }
-    all.run(10s);
-    all.put(record_text("change", 1, put_version("v1", 9)));
-    const auto begin = all.time.now();
+    env.run(10s);
+    env.put(record_text("change", 1, put_version("v1", 9)));
+    const auto begin = env.time.now();
     auto reached = 0;
     while (reached < process_count) {
-        all.run(100ms);
+        env.run(100ms);
         reached = 0;
         for (auto number = 0; number < process_count; ++number) {
-            reached += all.offset(numbered("p", number)) == 2 ? 1 : 0;
+            reached += env.offset(numbered("p", number)) == 2 ? 1 : 0;
         }
     }
-    const auto last = std::chrono::duration<double>(all.time.now() - begin).count();
+    const auto last = std::chrono::duration<double>(env.time.now() - begin).count();
     double oldest = 0;
     for (auto number = 0; number < process_count; ++number) {
-        const auto as_of = all.at(numbered("p", number)).reader->evidence_time();
+        const auto as_of = env.at(numbered("p", number)).reader->evidence_time();
         oldest =
-            std::max(oldest, std::chrono::duration<double>(all.time.now() - as_of.value()).count());
+            std::max(oldest, std::chrono::duration<double>(env.time.now() - as_of.value()).count());
     }
     const auto suffix =
         "_" + std::to_string(tailer_count) + (knows_tailers ? "_known_tailers" : "_tailers");
--- a/source/unit_tests/inventory/prefix_property_test.cpp
+++ b/source/unit_tests/inventory/prefix_property_test.cpp
@@ -13,165 +13,166 @@
 
 constexpr auto process_names = {"a", "b", "c"};
 
-/// What may happen between two looks at the processes.
-enum class event : int {
+/// Events between two checks of the processes.
+enum class event_kind : int {
     put_change,
     put_stale_change,
     put_repeat,
     put_withdrawal,
     put_removal,
-    put_junk,
+    put_garbage,
     put_checkpoint,
     put_torn_checkpoint,
     trim,
     withdraw_at_process,
-    lose_log,
-    return_log,
+    fail_log,
+    restore_log,
     slow_log,
     lose_answers,
-    cut_off,
-    reach,
+    disconnect,
+    reconnect,
     pause,
     restart,
-    old_replica,
-    new_replica,
+    stale_replica,
+    fresh_replica,
     count,
 };
 
 struct step {
-    event what = event::put_change;
-    /// Chooses process, version, base and the like.
+    event_kind kind = event_kind::put_change;
+    /// Selects the process, version, base and other parameters.
     std::uint32_t pick = 0;
     std::uint32_t run_ms = 0;
 };
 
-/// The log as it ever was, beside three processes that see it through faults.
-class trial {
+/// A reference state folded from the complete log, and three processes that read the log under
+/// faults.
+class simulation {
 public:
-    trial()
+    simulation()
     {
-        this->all.put(first_record());
-        this->all.read_limit = 3;
+        this->env.put(first_record());
+        this->env.read_limit = 3;
         for (const auto* name : process_names) {
-            this->all.start(name, std::string(name) != "c");
+            this->env.start(name, std::string(name) != "c");
         }
     }
 
-    auto take(const step& next) -> void
+    auto run_step(const step& next) -> void
     {
-        this->act(next);
-        this->all.run(std::chrono::milliseconds(next.run_ms));
+        this->apply_event(next);
+        this->env.run(std::chrono::milliseconds(next.run_ms));
         this->check();
     }
 
-    /// After all faults have ended, everyone comes to the head.
+    /// Ends all faults and checks that every process reaches the head of the log.
     auto settle() -> void
     {
-        this->all.log.set_faults({});
+        this->env.log.set_faults({});
         for (const auto* name : process_names) {
-            this->all.at(name).is_cut_off = false;
-            this->all.at(name).reads_old_replica = false;
+            this->env.at(name).is_cut_off = false;
+            this->env.at(name).reads_stale_replica = false;
         }
-        this->all.run(90s);
+        this->env.run(90s);
         this->check();
         for (const auto* name : process_names) {
-            RC_ASSERT(this->all.offset(name) == this->all.log.head(configuration).value());
-            RC_ASSERT(this->all.at(name).reader->current_until() > this->all.time.now());
+            RC_ASSERT(this->env.offset(name) == this->env.log.head(configuration).value());
+            RC_ASSERT(this->env.at(name).reader->current_until() > this->env.time.now());
         }
     }
 
 private:
-    auto act(const step& next) -> void
+    auto apply_event(const step& next) -> void
     {
-        const auto head = this->all.log.head(configuration).value();
+        const auto head = this->env.log.head(configuration).value();
         const auto id = "r" + std::to_string(head);
         const auto version = "v" + std::to_string(next.pick % 5 + 1);
         const auto* name = *(process_names.begin() + next.pick % 3);
-        auto& chosen = this->all.at(name);
-        auto faults = this->all.log.faults();
-        switch (next.what) {
-        case event::put_change:
-            this->all.put(record_text(id, head, put_version(version, 1)));
+        auto& chosen = this->env.at(name);
+        auto faults = this->env.log.faults();
+        switch (next.kind) {
+        case event_kind::put_change:
+            this->env.put(record_text(id, head, put_version(version, 1)));
             break;
-        case event::put_stale_change:
-            this->all.put(record_text(id, next.pick % (head + 1), put_version(version, 2)));
+        case event_kind::put_stale_change:
+            this->env.put(record_text(id, next.pick % (head + 1), put_version(version, 2)));
             break;
-        case event::put_repeat:
-            this->all.put(this->history[next.pick % this->history.size()].data);
+        case event_kind::put_repeat:
+            this->env.put(this->history[next.pick % this->history.size()].data);
             break;
-        case event::put_withdrawal:
-            this->all.put(record_text(id, 0, R"({"withdraw":")" + version + "\"}"));
+        case event_kind::put_withdrawal:
+            this->env.put(record_text(id, 0, R"({"withdraw":")" + version + "\"}"));
             break;
-        case event::put_removal:
-            this->all.put(record_text(id, head, R"({"remove":"version","id":")" + version + "\"}"));
+        case event_kind::put_removal:
+            this->env.put(record_text(id, head, R"({"remove":"version","id":")" + version + "\"}"));
             break;
-        case event::put_junk:
-            this->all.put(std::string(next.pick % 7, '{') + "\x01");
+        case event_kind::put_garbage:
+            this->env.put(std::string(next.pick % 7, '{') + "\x01");
             break;
-        case event::put_checkpoint:
-            this->all.put(format_checkpoint(*chosen.reader->snapshot()));
+        case event_kind::put_checkpoint:
+            this->env.put(format_checkpoint(*chosen.reader->snapshot()));
             break;
-        case event::put_torn_checkpoint: {
+        case event_kind::put_torn_checkpoint: {
             const auto whole = format_checkpoint(*chosen.reader->snapshot());
-            this->all.put(whole.substr(0, next.pick % whole.size()));
+            this->env.put(whole.substr(0, next.pick % whole.size()));
             break;
         }
-        case event::trim:
+        case event_kind::trim:
             this->trim();
             break;
-        case event::withdraw_at_process:
+        case event_kind::withdraw_at_process:
             static_cast<void>(chosen.reader->withdraw(
                 version_id{version}, reedramp::common::record_id{"w" + version}, "anna"));
             break;
-        case event::lose_log:
+        case event_kind::fail_log:
             faults.down = true;
             break;
-        case event::return_log:
+        case event_kind::restore_log:
             faults = {};
             break;
-        case event::slow_log:
+        case event_kind::slow_log:
             faults.slow = std::chrono::milliseconds(next.pick % 4000);
             break;
-        case event::lose_answers:
+        case event_kind::lose_answers:
             faults.lose_answer_every = next.pick % 3;
             faults.lose_append_every = next.pick % 2;
             break;
-        case event::cut_off:
+        case event_kind::disconnect:
             chosen.is_cut_off = true;
             break;
-        case event::reach:
+        case event_kind::reconnect:
             chosen.is_cut_off = false;
             break;
-        case event::pause:
-            chosen.paused_until = this->all.time.now() + std::chrono::seconds(next.pick % 40);
+        case event_kind::pause:
+            chosen.paused_until = this->env.time.now() + std::chrono::seconds(next.pick % 40);
             break;
-        case event::restart:
+        case event_kind::restart:
             this->restart(name);
             break;
-        case event::old_replica:
-            this->has_old_replica = true;
-            this->all.freeze_replica();
-            chosen.reads_old_replica = true;
+        case event_kind::stale_replica:
+            this->has_stale_replica = true;
+            this->env.freeze_replica();
+            chosen.reads_stale_replica = true;
             break;
-        case event::new_replica:
-            chosen.reads_old_replica = false;
+        case event_kind::fresh_replica:
+            chosen.reads_stale_replica = false;
             break;
-        case event::count:
+        case event_kind::count:
             break;
         }
-        this->all.log.set_faults(faults);
-        this->learn();
+        this->env.log.set_faults(faults);
+        this->update_reference();
     }
 
-    /// Drops records that a sound checkpoint in the log makes up for, as a log's owner would see
-    /// to by its retention.
+    /// Trims records that are covered by a valid checkpoint in the log, as a log's retention
+    /// should.
     auto trim() -> void
     {
-        const auto records = this->all.log.records(configuration);
+        const auto records = this->env.log.records(configuration);
         for (const auto& item : records) {
             const auto sound = parse_checkpoint(item.data);
             if (sound && sound->offset.value() + 1 >= records.front().offset.value()) {
-                this->all.log.trim(configuration, log_offset{sound->offset.value() + 1});
+                this->env.log.trim(configuration, log_offset{sound->offset.value() + 1});
                 return;
             }
         }
@@ -179,31 +180,31 @@
 
     auto restart(const std::string& name) -> void
     {
-        const auto was_tailer = this->all.at(name).is_tailer;
-        this->all.end(name);
-        this->all.start(name, was_tailer);
+        const auto was_tailer = this->env.at(name).is_tailer;
+        this->env.end(name);
+        this->env.start(name, was_tailer);
         this->seen_withdrawn.erase(name);
     }
 
-    /// Folds what came into the log, as one reader who never missed anything.
-    auto learn() -> void
+    /// Folds the new records of the log into the reference state.
+    auto update_reference() -> void
     {
-        for (const auto& item : this->all.log.records(configuration)) {
+        for (const auto& item : this->env.log.records(configuration)) {
             if (item.offset <= this->reference.offset) {
                 continue;
             }
             this->history.push_back(item);
             apply(this->reference, item);
             this->digests[item.offset.value()] = digest(this->reference);
-            this->seen_at.emplace_back(this->all.time.now());
+            this->seen_at.emplace_back(this->env.time.now());
         }
     }
 
     auto check() -> void
     {
-        this->learn();
+        this->update_reference();
         for (const auto* name : process_names) {
-            const auto& process = this->all.at(name);
+            const auto& process = this->env.at(name);
             const auto current = process.reader->snapshot();
             RC_ASSERT(std::ranges::is_sorted(process.offsets));
             if (process.reader->ready()) {
@@ -221,13 +222,13 @@
         }
     }
 
-    /// What a process believes to be current as of a time holds all records that were in the log
-    /// by then. A replica that gets no new records can't be told from the log itself by a process
-    /// that has nothing newer, so schedules with one are left out here.
+    /// Checks that a process's state includes all records that were in the log at its evidence
+    /// time. A process without newer records can't distinguish a replica that gets no new records
+    /// from the log itself, so schedules with such a replica are skipped.
     auto check_evidence(const process& item) -> void
     {
         const auto as_of = item.reader->evidence_time();
-        if (!as_of || this->has_old_replica) {
+        if (!as_of || this->has_stale_replica) {
             return;
         }
         const auto by_then = std::ranges::lower_bound(this->seen_at, *as_of);
@@ -235,11 +236,11 @@
         RC_ASSERT(item.reader->snapshot()->offset.value() >= static_cast<std::uint64_t>(held));
     }
 
-    world all;
+    fixture env;
     state reference;
-    /// When each record was in the log, at the latest.
+    /// Time by which each record was in the log.
     std::vector<reedramp::common::time_point> seen_at;
-    bool has_old_replica = false;
+    bool has_stale_replica = false;
     std::vector<reedramp::messages::log_record> history{{log_offset{1}, first_record()}};
     std::map<std::uint64_t, std::string> digests{{0, digest(state{})}};
     std::map<std::string, std::set<version_id>> seen_withdrawn;
@@ -249,29 +250,30 @@
 {
     return rc::gen::build<step>(
         rc::gen::set(
-            &step::what,
+            &step::kind,
             rc::gen::map(
-                rc::gen::inRange(0, static_cast<int>(event::count)),
-                [](int value) { return static_cast<event>(value); })),
+                rc::gen::inRange(0, static_cast<int>(event_kind::count)),
+                [](int value) { return static_cast<event_kind>(value); })),
         rc::gen::set(&step::pick, rc::gen::inRange<std::uint32_t>(0, 1U << 20U)),
         rc::gen::set(&step::run_ms, rc::gen::inRange<std::uint32_t>(0, 8000)));
 }
 
 } // namespace
 
-// Operators, peers and the log do what they may do wrong, in random order: records late, repeated,
-// torn and trimmed, replicas behind, answers lost, processes suspended and replaced. After each
-// step every process that is ready has exactly the state of the log's prefix up to its offset, no
-// process has gone back, and none has forgotten a withdrawal.
-TEST_CASE("the state is a function of the log's prefix, whatever happens", "[property]")
+// Random sequences of faults of operators, peers and the log: records late, duplicated, truncated
+// and trimmed, replicas behind, responses lost, processes suspended and replaced. After each step
+// every ready process must have exactly the state of the log's prefix up to its offset, no process
+// may have gone back, and none may have lost a withdrawal.
+TEST_CASE("the state is a function of the log's prefix under all faults", "[property]")
 {
-    // Fixed here, so that each run checks the same schedules; the environment may set another.
+    // A fixed seed, so that each run checks the same schedules; the environment variable overrides
+    // it.
     ::setenv("RC_PARAMS", "seed=20261202 max_success=1000 max_size=60", 0);
     const auto holds = rc::check([] {
         const auto steps = *rc::gen::container<std::vector<step>>(step_generator());
-        trial one;
+        simulation one;
         for (const auto& next : steps) {
-            one.take(next);
+            one.run_step(next);
         }
         one.settle();
     });
