--- a/source/unit_tests/inventory/publisher_faults_test.cpp
+++ b/source/unit_tests/inventory/publisher_faults_test.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-/// Each row: an operator publishes record "mine" on base 1 with a deadline of 10 s, while the log
-/// has `before`; after a second it has `after`.
+/// An operator publishes record "mine" on base 1 with a deadline of 10 s. The log has the faults
+/// `before` for a second, and `after` from then on.
 struct publish_row {
     const char* name;
     log_faults before;
     log_faults after;
-    /// Appended by another operator right before; empty for none.
+    /// Record that another operator appends immediately before; empty for none.
     std::string other;
     result_code code;
     execution run;
@@ -34,15 +34,15 @@
 const log_faults lost_answer{.lose_answer_every = 1};
 const log_faults lost_append{.lose_append_every = 1};
 const std::string theirs = record_text("theirs", 1, put_version("v1", 5));
-const std::string elsewhere = record_text("theirs", 1, put_version("v3", 5));
+const std::string other_entity = record_text("theirs", 1, put_version("v3", 5));
 
 const std::vector<publish_row> publish_rows = {
     {"no fault", none, none, "", result_code::ok, execution::not_run, 1, ""},
     {"log slow", slow, slow, "", result_code::ok, execution::not_run, 1, ""},
-    // The record is in the log, its answer is lost. The operator gets "accepted" once it is read
-    // back; a second append would stand in the log as a doubled change.
+    // The record is in the log, but the response is lost. The operator gets the acceptance once the
+    // record is read back; a second append would duplicate it in the log.
     {"answer lost", lost_answer, lost_answer, "", result_code::ok, execution::not_run, 1, ""},
-    // The append never reached the log. Reading on shows that, and only then it is sent again.
+    // The append never reached the log. It is sent again only after a read has shown that.
     {"append lost", lost_append, none, "", result_code::ok, execution::not_run, 1, ""},
     {"answer lost, then log down, then back",
      lost_answer,
@@ -69,8 +69,8 @@
      0,
      "not known"},
     {"log down", down, none, "", result_code::log_unavailable, execution::not_run, 0, "down"},
-    // Another operator's change of the same version came first. Ours is refused, and the refusal
-    // says whose change won and what it touched.
+    // Another operator's change of the same version came first. This one is refused, and the error
+    // names the author of the other change and what it touched.
     {"two operators race",
      none,
      none,
@@ -90,16 +90,16 @@
     {"two operators change different things",
      none,
      none,
-     elsewhere,
+     other_entity,
      result_code::ok,
      execution::not_run,
      1,
      ""},
 };
 
-auto copies_of_mine(const world& all) -> std::ptrdiff_t
+auto copies_of_mine(const fixture& env) -> std::ptrdiff_t
 {
-    const auto records = all.log.records(configuration);
+    const auto records = env.log.records(configuration);
     return std::ranges::count_if(records, [](const auto& item) {
         return item.data.find(R"("id":"mine")") != std::string::npos;
     });
@@ -107,10 +107,10 @@
 
 using answer = std::optional<reedramp::common::result<publication>>;
 
-auto publish(world& all, const std::string& process, answer& got) -> void
+auto publish(fixture& env, const std::string& process, answer& got) -> void
 {
     const auto mine = parsed(record_text("mine", 1, put_version("v1", 9)));
-    all.at(process).writer->publish(mine, all.time.now() + 10s, [&got](const auto& done) {
+    env.at(process).writer->publish(mine, env.time.now() + 10s, [&got](const auto& done) {
         REQUIRE_FALSE(got);
         got = done;
     });
@@ -119,25 +119,25 @@
 auto check_row(const publish_row& row, bool is_tailer) -> void
 {
     INFO(row.name << (is_tailer ? ", at a tailer" : ", at a process that pulls"));
-    world all;
-    all.put(first_record());
-    all.start("a", is_tailer);
-    all.run(3s);
-    REQUIRE(all.offset("a") == 1);
+    fixture env;
+    env.put(first_record());
+    env.start("a", is_tailer);
+    env.run(3s);
+    REQUIRE(env.offset("a") == 1);
     if (!row.other.empty()) {
-        all.put(row.other);
+        env.put(row.other);
     }
-    all.log.set_faults(row.before);
+    env.log.set_faults(row.before);
     answer got;
-    publish(all, "a", got);
-    all.run(1s);
-    all.log.set_faults(row.after);
-    all.run(12s);
+    publish(env, "a", got);
+    env.run(1s);
+    env.log.set_faults(row.after);
+    env.run(12s);
     REQUIRE(got);
-    CHECK(copies_of_mine(all) == row.copies);
+    CHECK(copies_of_mine(env) == row.copies);
     if (row.code == result_code::ok) {
         REQUIRE(*got);
-        CHECK(all.offset("a") >= (*got)->offset.value());
+        CHECK(env.offset("a") >= (*got)->offset.value());
         return;
     }
     REQUIRE_FALSE(*got);
@@ -148,7 +148,7 @@
 
 } // namespace
 
-TEST_CASE("the publisher's faults", "[faults]")
+TEST_CASE("the publisher under faults of the log", "[faults]")
 {
     for (const auto& row : publish_rows) {
         check_row(row, true);
@@ -156,62 +156,62 @@
     }
 }
 
-TEST_CASE("an answer that stays lost is told as unknown", "[publisher]")
+TEST_CASE("a response that stays lost is reported as unknown", "[publisher]")
 {
-    // The append takes effect, its answer is lost, and the log goes down before anyone reads the
-    // record. The operator must not hear "not run": the record comes into force with the log.
-    world all;
-    all.put(first_record());
-    all.start("a", false);
-    all.run(3s);
-    all.log.set_faults({.slow = std::chrono::seconds(1), .lose_answer_every = 1});
+    // The append takes effect, its response is lost, and the log goes down before the record is
+    // read. The operator must not get "not run", since the record is in force once the log is back.
+    fixture env;
+    env.put(first_record());
+    env.start("a", false);
+    env.run(3s);
+    env.log.set_faults({.slow = std::chrono::seconds(1), .lose_answer_every = 1});
     answer got;
-    publish(all, "a", got);
-    all.run(500ms);
-    all.log.set_faults(down);
-    all.run(12s);
+    publish(env, "a", got);
+    env.run(500ms);
+    env.log.set_faults(down);
+    env.run(12s);
     REQUIRE(got);
     REQUIRE_FALSE(*got);
     CHECK(got->error().code == result_code::append_unknown);
     CHECK(got->error().run == execution::unknown);
-    all.log.set_faults(none);
-    all.run(10s);
-    CHECK(all.offset("a") == 2);
+    env.log.set_faults(none);
+    env.run(10s);
+    CHECK(env.offset("a") == 2);
 }
 
 TEST_CASE("publishing a record again changes nothing", "[publisher]")
 {
-    world all;
-    all.put(first_record());
-    all.start("a");
-    all.start("b");
-    all.run(2s);
+    fixture env;
+    env.put(first_record());
+    env.start("a");
+    env.start("b");
+    env.run(2s);
     answer first;
-    publish(all, "a", first);
-    all.run(2s);
+    publish(env, "a", first);
+    env.run(2s);
     answer again;
-    publish(all, "b", again);
-    all.run(2s);
+    publish(env, "b", again);
+    env.run(2s);
     REQUIRE(first);
     REQUIRE(again);
     REQUIRE(*first);
     REQUIRE(*again);
     CHECK((*first)->offset == (*again)->offset);
-    CHECK(copies_of_mine(all) == 1);
+    CHECK(copies_of_mine(env) == 1);
 }
 
 TEST_CASE("a record that the inventory's rules refuse is not appended", "[publisher]")
 {
-    world all;
-    all.put(first_record());
-    all.start("a");
-    all.run(1s);
+    fixture env;
+    env.put(first_record());
+    env.start("a");
+    env.run(1s);
     answer got;
     const auto wrong = parsed(record_text("mine", 1, R"({"remove":"model","id":"m"})"));
-    all.at("a").writer->publish(
-        wrong, all.time.now() + 10s, [&got](const auto& done) { got = done; });
+    env.at("a").writer->publish(
+        wrong, env.time.now() + 10s, [&got](const auto& done) { got = done; });
     REQUIRE(got);
     REQUIRE_FALSE(*got);
     CHECK(got->error().code == result_code::invalid_record);
-    CHECK(copies_of_mine(all) == 0);
+    CHECK(copies_of_mine(env) == 0);
 }
--- a/source/unit_tests/inventory/register_import_test.cpp
+++ b/source/unit_tests/inventory/register_import_test.cpp
@@ -29,7 +29,7 @@
 struct import_row {
     const char* name;
     std::string csv;
-    /// Part of the problem; empty if the register is fine.
+    /// Part of the error.
     const char* problem;
 };
 
@@ -40,9 +40,11 @@
     {"unknown service", header + "q1,service,h1,d,r,,x,\n", "line 2: there is no service x"},
     {"the same id twice",
      header + "e1,engine,h1,d,r,v1,,\n\ne1,engine,h2,d,r,v1,,\n",
-     "line 4: id e1 stands twice"},
+     "line 4: id e1 occurs more than once"},
     {"no host", header + "e1,engine,,d,r,v1,,\n", "line 2: a server needs an id and a host"},
-    {"an unclear answer", header + "e1,engine,h1,d,r,v1,,maybe\n", "yes or no, not maybe"},
+    {"a value other than yes or no",
+     header + "e1,engine,h1,d,r,v1,,maybe\n",
+     "yes or no, not maybe"},
     {"a short row", header + "e1,engine\n", "line 2"},
     {"an open quote", header + "e1,engine,\"h1,d,r,v1,,\n", "line 2"},
 };
@@ -68,7 +70,7 @@
     }
 }
 
-TEST_CASE("a register becomes changes that the inventory accepts", "[import]")
+TEST_CASE("a register is converted to changes that the inventory accepts", "[import]")
 {
     const auto current = current_state();
     const auto made = import_register(
@@ -80,7 +82,7 @@
         current);
     REQUIRE(made);
     CHECK(made->unchanged == 1);
-    CHECK(made->passed_over == 1);
+    CHECK(made->skipped == 1);
     record item{reedramp::common::record_id{"i"}, "anna", {}, current.offset, made->changes};
     const auto after = check_record(current, item);
     REQUIRE(after);
--- a/source/unit_tests/inventory/rules_test.cpp
+++ b/source/unit_tests/inventory/rules_test.cpp
@@ -10,7 +10,7 @@
 
 const std::string rollout_to_v2 = R"({"id":"r","model":"m","from":"v1","to":"v2","share":10,)";
 
-/// `first_record()`, then versions with a stale rule of their own, then a roll-out with this
+/// State with `first_record()`, versions with their own stale rules, and a roll-out with this
 /// status.
 auto with_rollout(const std::string& status) -> state
 {
@@ -73,7 +73,7 @@
     }
 }
 
-TEST_CASE("an organisation that names a version of a model is held to it", "[rules]")
+TEST_CASE("an organisation that lists a version of a model may use only that one", "[rules]")
 {
     const auto current = folded(
         {first_record(),
@@ -110,7 +110,7 @@
     CHECK(rules::versions_of(current, reedramp::common::model_id{"m"}).size() == 3);
 }
 
-TEST_CASE("a method that nobody listed runs at most once", "[rules]")
+TEST_CASE("an unlisted method runs at most once", "[rules]")
 {
     const service item{reedramp::common::service_name{"s"}, {"GET"}, {"POST"}, {}};
     using reedramp::messages::repeat_rule;
