--- a/source/core/operators/answer_views.cpp
+++ b/source/core/operators/answer_views.cpp
@@ -1,4 +1,4 @@
-#include "operators/table.hpp"
+#include "operators/text_table.hpp"
 #include "operators/views.hpp"
 
 #include <algorithm>
@@ -15,12 +15,12 @@
 
 namespace {
 
-auto object_of(std::string_view text) -> json::object
+auto parse_object_or_empty(std::string_view text) -> json::object
 {
     return platform::parse_object(text).value_or(json::object{});
 }
 
-auto word(const json::object& from, std::string_view name) -> std::string
+auto string_or_empty(const json::object& from, std::string_view name) -> std::string
 {
     return string_field(from, name).value_or("");
 }
@@ -30,55 +30,55 @@
     return std::to_string(count_field(from, name).value_or(0));
 }
 
-auto touched_text(const json::object& row) -> std::string
+auto changed_entities_text(const json::object& row) -> std::string
 {
-    std::string made;
+    std::string result;
     const auto* touched = array_field(row, "touched");
     if (touched == nullptr) {
-        return made;
+        return result;
     }
     for (const auto& name : *touched) {
         if (const auto* text = name.if_string()) {
-            made += (made.empty() ? "" : ", ") + std::string(text->data(), text->size());
+            result += (result.empty() ? "" : ", ") + std::string(text->data(), text->size());
         }
     }
-    return made;
+    return result;
 }
 
-auto records_table(const json::array& rows, std::size_t most) -> std::string
+auto records_table(const json::array& rows, std::size_t max_records) -> std::string
 {
     text_table table({"offset", "record", "author", "result", "what"});
-    const auto first = rows.size() - std::min(most, rows.size());
+    const auto first = rows.size() - std::min(max_records, rows.size());
     for (auto index = first; index < rows.size(); ++index) {
         const auto* row = rows[index].if_object();
         if (row == nullptr) {
             continue;
         }
-        const auto why = word(*row, "why");
+        const auto reason = string_or_empty(*row, "why");
         table.add(
             {count_text(*row, "offset"),
-             word(*row, "id"),
-             word(*row, "author"),
-             word(*row, "result"),
-             why.empty() ? touched_text(*row) : why});
+             string_or_empty(*row, "id"),
+             string_or_empty(*row, "author"),
+             string_or_empty(*row, "result"),
+             reason.empty() ? changed_entities_text(*row) : reason});
     }
     return table.text();
 }
 
-auto sums_table(const json::object& bills, const char* member, const char* title) -> std::string
+auto totals_table(const json::object& bills, const char* member, const char* title) -> std::string
 {
     text_table table({title, "requests", "runs", "prompt tokens", "completion tokens", "money"});
-    const auto* sums = object_field(bills, member);
-    if (sums == nullptr) {
+    const auto* totals = object_field(bills, member);
+    if (totals == nullptr) {
         return {};
     }
-    for (const auto& sum : *sums) {
-        const auto* row = sum.value().if_object();
+    for (const auto& total : *totals) {
+        const auto* row = total.value().if_object();
         if (row == nullptr) {
             continue;
         }
         table.add(
-            {std::string(sum.key().data(), sum.key().size()),
+            {std::string(total.key().data(), total.key().size()),
              count_text(*row, "requests"),
              count_text(*row, "lines"),
              count_text(*row, "prompt_tokens"),
@@ -90,54 +90,56 @@
 
 } // namespace
 
-auto history_text(std::string_view history, std::size_t most) -> std::string
+auto history_text(std::string_view history, std::size_t max_records) -> std::string
 {
-    const auto answer = object_of(history);
-    auto made = "revision " + count_text(answer, "offset") + "\n";
+    const auto answer = parse_object_or_empty(history);
+    auto result = "revision " + count_text(answer, "offset") + "\n";
     if (const auto* records = array_field(answer, "records"); records != nullptr) {
-        made += records_table(*records, most);
+        result += records_table(*records, max_records);
     }
     const auto* problems = array_field(answer, "problems");
     if (problems != nullptr && !problems->empty()) {
-        made += "\nrefused or unreadable\n" + records_table(*problems, most);
+        result += "\nrefused or unreadable\n" + records_table(*problems, max_records);
     }
-    return made;
+    return result;
 }
 
 auto bills_text(std::string_view bills) -> std::string
 {
-    const auto answer = object_of(bills);
-    auto made = sums_table(answer, "organisations", "organisation");
-    const auto versions = sums_table(answer, "versions", "version");
-    made += versions.empty() ? "" : "\n" + versions;
+    const auto answer = parse_object_or_empty(bills);
+    auto result = totals_table(answer, "organisations", "organisation");
+    const auto versions = totals_table(answer, "versions", "version");
+    result += versions.empty() ? "" : "\n" + versions;
     const auto cost = static_cast<std::int64_t>(count_field(answer, "cost_micro").value_or(0));
-    made += "\n" + count_text(answer, "requests") + " requests, " + money_text(cost) +
-            " money; repeated bills " + count_text(answer, "repeated") + ", malformed " +
-            count_text(answer, "malformed") + "\n";
-    return made;
+    result += "\n" + count_text(answer, "requests") + " requests, " + money_text(cost) +
+              " money; repeated bills " + count_text(answer, "repeated") + ", malformed " +
+              count_text(answer, "malformed") + "\n";
+    return result;
 }
 
 auto explanation_text(std::string_view explanation) -> std::string
 {
-    const auto answer = object_of(explanation);
-    auto made = "request " + word(answer, "request") + " of " + word(answer, "organisation") +
-                ", configuration " + count_text(answer, "configuration") + ", result " +
-                word(answer, "result") + ", execution " + word(answer, "execution") + "\n";
+    const auto answer = parse_object_or_empty(explanation);
+    auto result = "request " + string_or_empty(answer, "request") + " of " +
+                  string_or_empty(answer, "organisation") + ", configuration " +
+                  count_text(answer, "configuration") + ", result " +
+                  string_or_empty(answer, "result") + ", execution " +
+                  string_or_empty(answer, "execution") + "\n";
     const auto* steps = array_field(answer, "steps");
     if (steps == nullptr) {
-        return made;
+        return result;
     }
     text_table table({"step", "chosen", "reason", "runner-up"});
     for (const auto& item : *steps) {
         if (const auto* row = item.if_object()) {
             table.add(
-                {word(*row, "what"),
-                 word(*row, "chosen"),
-                 word(*row, "reason"),
-                 word(*row, "runner_up")});
+                {string_or_empty(*row, "what"),
+                 string_or_empty(*row, "chosen"),
+                 string_or_empty(*row, "reason"),
+                 string_or_empty(*row, "runner_up")});
         }
     }
-    return made + table.text();
+    return result + table.text();
 }
 
 } // namespace reedramp::operators
--- a/source/core/operators/answers.cpp
+++ b/source/core/operators/answers.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr std::uint16_t first_bad_status = 300;
-constexpr std::uint16_t codes_in_group = 100;
+constexpr std::uint16_t first_error_status = 300;
+constexpr std::uint16_t codes_per_group = 100;
 
 auto code_by_name(std::string_view name) -> std::optional<result_code>
 {
@@ -37,57 +37,59 @@
     return fallback;
 }
 
-/// The error of an answer that is not a good one.
-auto read_problem(const http::response& answer) -> common::error
+/// Reads the error from a problem+json answer.
+auto parse_problem(const http::response& answer) -> common::error
 {
     const auto body = platform::parse_object(answer.body).value_or(json::object{});
     const auto code = code_by_name(platform::string_field(body, "name").value_or(""));
     if (!code) {
         return common::make_error(
             result_code::peer_unavailable,
-            "answer with status " + std::to_string(answer.status) + " and no result code");
+            "unexpected answer: status " + std::to_string(answer.status) +
+                " without a result code");
     }
-    auto made = common::make_error(*code, platform::string_field(body, "detail").value_or(""));
-    made.run = execution_by_name(platform::string_field(body, "execution").value_or(""), made.run);
-    return made;
+    auto result = common::make_error(*code, platform::string_field(body, "detail").value_or(""));
+    result.run =
+        execution_by_name(platform::string_field(body, "execution").value_or(""), result.run);
+    return result;
 }
 
 } // namespace
 
 auto exit_code_of(result_code code) -> int
 {
-    return static_cast<int>(code) / codes_in_group;
+    return static_cast<int>(code) / codes_per_group;
 }
 
-auto body_of(const common::result<http::response>& answer) -> common::result<std::string>
+auto response_body(const common::result<http::response>& answer) -> common::result<std::string>
 {
     if (!answer) {
-        auto made = common::make_error(result_code::peer_unavailable, answer.error().detail);
-        made.run = answer.error().run;
-        return tl::unexpected(std::move(made));
+        auto result = common::make_error(result_code::peer_unavailable, answer.error().detail);
+        result.run = answer.error().run;
+        return tl::unexpected(std::move(result));
     }
-    if (answer->status >= first_bad_status) {
-        return tl::unexpected(read_problem(*answer));
+    if (answer->status >= first_error_status) {
+        return tl::unexpected(parse_problem(*answer));
     }
     return answer->body;
 }
 
-auto health_word(const common::result<http::response>& answer) -> std::string
+auto health_text(const common::result<http::response>& answer) -> std::string
 {
     if (!answer) {
         return "NO ANSWER";
     }
-    if (answer->status < first_bad_status) {
+    if (answer->status < first_error_status) {
         return "ready";
     }
     const auto body = platform::parse_object(answer->body).value_or(json::object{});
-    const auto why = platform::string_field(body, "why").value_or("not ready");
-    return why == "leaving" ? "LEAVING" : why;
+    const auto error = platform::string_field(body, "why").value_or("not ready");
+    return error == "leaving" ? "LEAVING" : error;
 }
 
-auto may_ask_next(const common::error& why) -> bool
+auto should_try_next_entry(const common::error& error) -> bool
 {
-    switch (why.code) {
+    switch (error.code) {
     case result_code::peer_unavailable:
     case result_code::not_ready:
     case result_code::shutting_down:
@@ -99,17 +101,17 @@
     }
 }
 
-auto published_offset(std::string_view body) -> common::result<common::log_offset>
+auto parse_published_offset(std::string_view body) -> common::result<common::log_offset>
 {
     const auto answer = platform::parse_object(body);
     const auto offset = answer ? platform::count_field(*answer, "offset") : std::nullopt;
     if (!offset) {
-        return failure(result_code::internal_error, "the entry's answer names no offset");
+        return failure(result_code::internal_error, "the entry's answer contains no offset");
     }
     return common::log_offset{*offset};
 }
 
-auto find_published(std::string_view history, const common::record_id& id)
+auto find_record_outcome(std::string_view history, const common::record_id& id)
     -> std::optional<common::result<common::log_offset>>
 {
     const auto answer = platform::parse_object(history).value_or(json::object{});
@@ -132,41 +134,41 @@
     return std::nullopt;
 }
 
-auto read_state(std::string_view body) -> common::result<inventory::state>
+auto parse_state(std::string_view body) -> common::result<inventory::state>
 {
     json::error_code failed;
     const auto parsed = json::parse({body.data(), body.size()}, failed);
     if (failed) {
-        return failure(result_code::malformed_json, "the state is not JSON");
+        return failure(result_code::malformed_json, "the entry's state is not valid JSON");
     }
     return inventory::state_from_json(parsed);
 }
 
-auto error_text(const common::error& why) -> std::string
+auto error_text(const common::error& error) -> std::string
 {
-    const auto& row = common::row_of(why.code);
-    auto text = std::string(row.name) + " (" + std::to_string(static_cast<int>(why.code)) +
+    const auto& row = common::row_of(error.code);
+    auto text = std::string(row.name) + " (" + std::to_string(static_cast<int>(error.code)) +
                 "): " + std::string(row.explanation);
-    if (!why.detail.empty()) {
-        text += "\n  " + why.detail;
+    if (!error.detail.empty()) {
+        text += "\n  " + error.detail;
     }
-    if (why.run == execution::unknown) {
+    if (error.run == execution::unknown) {
         text += "\n  It is not known whether it took effect.";
     }
     return text + "\n";
 }
 
-auto error_json(const common::error& why) -> std::string
+auto error_json(const common::error& error) -> std::string
 {
-    const auto& row = common::row_of(why.code);
-    const auto run = common::to_string(why.run);
+    const auto& row = common::row_of(error.code);
+    const auto run = common::to_string(error.run);
     return json::serialize(json::object{
         {"error",
          json::object{
-             {"code", static_cast<int>(why.code)},
+             {"code", static_cast<int>(error.code)},
              {"name", json::string_view(row.name.data(), row.name.size())},
              {"execution", json::string_view(run.data(), run.size())},
-             {"detail", why.detail}}}});
+             {"detail", error.detail}}}});
 }
 
 } // namespace reedramp::operators
--- a/source/core/operators/commands.cpp
+++ b/source/core/operators/commands.cpp
@@ -20,7 +20,7 @@
      false,
      "base author",
      "check FILE [--base REV]",
-     "Checks a record file: its form, and with an entry, what it would change."},
+     "Validates a record file, and shows what it would change if an entry is given."},
     {publish,
      "publish",
      1,
@@ -28,7 +28,7 @@
      true,
      "base author",
      "publish FILE [--base REV]",
-     "Publishes a record file. Doing so twice is one change."},
+     "Publishes a record file. Publishing the same file twice makes one change."},
     {show, "show", 0, 2, true, "", "show [KIND [ID]]", "Shows the configuration in force."},
     {diff,
      "diff",
@@ -45,7 +45,7 @@
      true,
      "limit",
      "history [--limit N]",
-     "Lists the last records and what became of them."},
+     "Lists the newest records and their results."},
     {withdraw,
      "withdraw",
      1,
@@ -53,7 +53,7 @@
      true,
      "",
      "withdraw VERSION",
-     "Withdraws a version at once and for ever."},
+     "Withdraws a version immediately and permanently."},
     {rollout,
      "rollout",
      2,
@@ -62,7 +62,7 @@
      "model from to share base author",
      "rollout start ID --model M --from V --to V [--share PERMILLE] | pause ID | resume ID | abort "
      "ID",
-     "Starts and steers a roll-out."},
+     "Starts, pauses, resumes or aborts a roll-out."},
     {drain,
      "drain",
      1,
@@ -70,7 +70,7 @@
      true,
      "",
      "drain SERVER --hosts IP:PORT",
-     "Lets a backend server finish what runs and take nothing new."},
+     "Drains a backend server: running requests finish, new ones are not accepted."},
     {watch,
      "watch",
      1,
@@ -78,7 +78,7 @@
      false,
      "timeout",
      "watch REV|latest --hosts IP:PORT [--timeout SECONDS]",
-     "Waits until a revision is in force in all processes."},
+     "Waits until a configuration revision is in force in all processes."},
     {explain,
      "explain",
      1,
@@ -86,10 +86,17 @@
      false,
      "log",
      "explain REQUEST_ID [--log FILE]...",
-     "Tells why a request ran on its version and server, or from routers' logs how it ended and "
-     "why."},
-    {bills, "bills", 0, 0, true, "", "bills", "Sums the bills."},
-    {status, "status", 0, 0, true, "", "status [--hosts IP:PORT]", "Shows the whole system."},
+     "Explains why a version and a server were chosen for a request, or from routers' logs, how "
+     "and why the request ended."},
+    {bills, "bills", 0, 0, true, "", "bills", "Shows billing totals by organisation and version."},
+    {status,
+     "status",
+     0,
+     0,
+     true,
+     "",
+     "status [--hosts IP:PORT]",
+     "Shows the status of the whole system."},
     {import_register,
      "import",
      1,
@@ -97,7 +104,7 @@
      true,
      "out publish column author",
      "import CSV [--out FILE | --publish] [--column NAME=HEADER]...",
-     "Makes a record of backend servers from an asset register."},
+     "Creates a record of backend servers from an asset register."},
     {result_codes,
      "result-codes",
      0,
@@ -108,7 +115,7 @@
      "Prints the table of result codes."},
 });
 
-auto has_word(std::string_view list, std::string_view wanted) -> bool
+auto contains_word(std::string_view list, std::string_view wanted) -> bool
 {
     while (!list.empty()) {
         const auto word = list.substr(0, list.find(' '));
@@ -131,24 +138,25 @@
     -> common::result<command_row>
 {
     if (words.empty()) {
-        return failure(result_code::malformed_request, "a command is needed");
+        return failure(result_code::malformed_request, "a command is required");
     }
     const auto* const found = std::ranges::find(rows, words.front(), &command_row::name);
     if (found == rows.end()) {
-        return failure(result_code::malformed_request, "there is no command " + words.front());
+        return failure(result_code::malformed_request, "unknown command " + words.front());
     }
     const auto count = words.size() - 1;
-    if (count < found->least_words || count > found->most_words) {
+    if (count < found->min_arguments || count > found->max_arguments) {
         return failure(result_code::malformed_request, "usage: " + std::string(found->usage));
     }
     for (const auto& word : words) {
         if (word.starts_with("-") && word != "-") {
-            return failure(result_code::malformed_request, "there is no option " + word);
+            return failure(result_code::malformed_request, "unknown option " + word);
         }
     }
     for (const auto& option : options) {
-        if (!has_word(common_options, option) && !has_word(found->options, option)) {
-            return failure(result_code::malformed_request, words.front() + " takes no --" + option);
+        if (!contains_word(common_options, option) && !contains_word(found->options, option)) {
+            return failure(
+                result_code::malformed_request, words.front() + " does not accept --" + option);
         }
     }
     return *found;
@@ -156,11 +164,11 @@
 
 auto commands_text() -> std::string
 {
-    std::string made;
+    std::string result;
     for (const auto& row : rows) {
-        made += "  " + std::string(row.usage) + "\n      " + std::string(row.explanation) + "\n";
+        result += "  " + std::string(row.usage) + "\n      " + std::string(row.explanation) + "\n";
     }
-    return made;
+    return result;
 }
 
 } // namespace reedramp::operators
--- a/source/core/operators/difference.cpp
+++ b/source/core/operators/difference.cpp
@@ -15,14 +15,14 @@
 
 constexpr auto changed_member = "changed";
 
-auto read_members(const std::string& text) -> json::object
+auto parse_members(const std::string& text) -> json::object
 {
     auto members = platform::parse_object(text).value_or(json::object{});
     members.erase(changed_member);
     return members;
 }
 
-auto text_of(const json::object& members, const std::string& name) -> std::string
+auto member_text(const json::object& members, const std::string& name) -> std::string
 {
     const auto* value = members.if_contains(name);
     return value == nullptr ? std::string{} : json::serialize(*value);
@@ -37,18 +37,18 @@
             names.emplace(member.key().data(), member.key().size());
         }
     }
-    std::vector<member_difference> made;
+    std::vector<member_difference> result;
     for (const auto& name : names) {
-        auto old_text = text_of(before, name);
-        auto new_text = text_of(after, name);
+        auto old_text = member_text(before, name);
+        auto new_text = member_text(after, name);
         if (old_text != new_text) {
-            made.push_back({name, std::move(old_text), std::move(new_text)});
+            result.push_back({name, std::move(old_text), std::move(new_text)});
         }
     }
-    return made;
+    return result;
 }
 
-auto kind_of(const inventory::difference& row) -> difference_kind
+auto difference_kind_of(const inventory::difference& row) -> difference_kind
 {
     if (row.before.empty()) {
         return difference_kind::added;
@@ -71,8 +71,8 @@
     return "changed";
 }
 
-/// Of a removed entity the name says enough.
-auto lists_members(difference_kind kind) -> bool
+/// For a removed or withdrawn entity only its name is shown.
+auto shows_members(difference_kind kind) -> bool
 {
     return kind == difference_kind::added || kind == difference_kind::changed;
 }
@@ -82,19 +82,20 @@
 auto differences(const inventory::state& before, const inventory::state& after)
     -> std::vector<entity_difference>
 {
-    std::vector<entity_difference> made;
+    std::vector<entity_difference> result;
     for (const auto& row : inventory::compare(before, after)) {
-        auto members = member_differences(read_members(row.before), read_members(row.after));
+        auto members = member_differences(parse_members(row.before), parse_members(row.after));
         if (!members.empty()) {
-            made.push_back({kind_of(row), inventory::to_string(row.entity), std::move(members)});
+            result.push_back(
+                {difference_kind_of(row), inventory::to_string(row.entity), std::move(members)});
         }
     }
     for (const auto& [version, offset] : after.withdrawn) {
         if (!before.withdrawn.contains(version)) {
-            made.push_back({difference_kind::withdrawn, "version " + version.value(), {}});
+            result.push_back({difference_kind::withdrawn, "version " + version.value(), {}});
         }
     }
-    return made;
+    return result;
 }
 
 auto difference_text(const std::vector<entity_difference>& rows) -> std::string
@@ -102,23 +103,23 @@
     if (rows.empty()) {
         return "no difference\n";
     }
-    std::string made;
+    std::string result;
     for (const auto& row : rows) {
-        made += std::string(kind_text(row.kind)) + " " + row.entity + "\n";
-        if (!lists_members(row.kind)) {
+        result += std::string(kind_text(row.kind)) + " " + row.entity + "\n";
+        if (!shows_members(row.kind)) {
             continue;
         }
         for (const auto& member : row.members) {
             const auto before = member.before.empty() ? "" : member.before + " -> ";
-            made += "    " + member.name + ": " + before + member.after + "\n";
+            result += "    " + member.name + ": " + before + member.after + "\n";
         }
     }
-    return made;
+    return result;
 }
 
 auto difference_json(const std::vector<entity_difference>& rows) -> std::string
 {
-    json::array made;
+    json::array result;
     for (const auto& row : rows) {
         json::array members;
         for (const auto& member : row.members) {
@@ -126,12 +127,12 @@
                 {"name", member.name}, {"before", member.before}, {"after", member.after}});
         }
         const auto kind = kind_text(row.kind);
-        made.push_back(json::object{
+        result.push_back(json::object{
             {"difference", json::string_view(kind.data(), kind.size())},
             {"entity", row.entity},
             {"members", std::move(members)}});
     }
-    return json::serialize(json::object{{"differences", std::move(made)}});
+    return json::serialize(json::object{{"differences", std::move(result)}});
 }
 
 } // namespace reedramp::operators
--- a/source/core/operators/difference.hpp
+++ b/source/core/operators/difference.hpp
@@ -10,23 +10,23 @@
 
 enum class difference_kind : std::uint8_t { added, removed, changed, withdrawn };
 
-/// One member of an entity, each side as JSON text.
+/// A changed member of an entity; both values are JSON text, empty if absent.
 struct member_difference {
     std::string name;
     std::string before;
     std::string after;
 };
 
-/// What a record does to one entity.
+/// Effect of a record on one entity.
 struct entity_difference {
     difference_kind kind = difference_kind::changed;
-    /// As in "version v2".
+    /// Kind and id, such as "version v2".
     std::string entity;
     std::vector<member_difference> members;
 };
 
-/// Compares what operators write; the offset of an entity's last change is left out, so that a
-/// record which says again what holds already shows no difference.
+/// Compares two states by the members that operators write. The offset of an entity's last change
+/// is ignored, so that a record which repeats the current values shows no difference.
 auto differences(const inventory::state& before, const inventory::state& after)
     -> std::vector<entity_difference>;
 
--- a/source/core/operators/drafts.cpp
+++ b/source/core/operators/drafts.cpp
@@ -15,11 +15,12 @@
 
 namespace {
 
-constexpr auto no_id = "unnamed";
+constexpr auto placeholder_id = "unnamed";
 constexpr std::size_t id_digits = 24;
 
-/// The step that the controllers go on from: the last one with no larger share.
-auto step_of(common::permille share) -> std::uint32_t
+/// Index of the step from which the controllers continue: the last one whose share is at most
+/// `share`.
+auto step_for_share(common::permille share) -> std::uint32_t
 {
     const auto steps = control::default_steps();
     std::uint32_t found = 0;
@@ -31,14 +32,14 @@
     return found;
 }
 
-auto status_after(rollout_verb verb) -> rollout_status
+auto status_after(rollout_action action) -> rollout_status
 {
-    switch (verb) {
-    case rollout_verb::pause:
+    switch (action) {
+    case rollout_action::pause:
         return rollout_status::paused;
-    case rollout_verb::resume:
+    case rollout_action::resume:
         return rollout_status::running;
-    case rollout_verb::abort:
+    case rollout_action::abort:
         return rollout_status::aborted;
     }
     return rollout_status::paused;
@@ -52,11 +53,11 @@
     if (!source) {
         return failure(result_code::invalid_record, "the file is not a JSON object");
     }
-    draft made;
-    made.has_id = source->contains("id");
-    made.has_base = source->contains("base") || defaults.base.has_value();
-    if (!made.has_id) {
-        source->emplace("id", no_id);
+    draft result;
+    result.has_id = source->contains("id");
+    result.has_base = source->contains("base") || defaults.base.has_value();
+    if (!result.has_id) {
+        source->emplace("id", placeholder_id);
     }
     if (!source->contains("author")) {
         source->emplace("author", defaults.author);
@@ -71,25 +72,25 @@
     if (!record) {
         return tl::unexpected(record.error());
     }
-    made.item = std::move(*record);
-    return made;
+    result.item = std::move(*record);
+    return result;
 }
 
-auto finish(draft item, common::log_offset seen) -> inventory::record
+auto complete_draft(draft item, common::log_offset current_offset) -> inventory::record
 {
     if (!item.has_base) {
-        item.item.base = seen;
+        item.item.base = current_offset;
     }
     if (!item.has_id) {
-        item.item.id = derived_id(item.item);
+        item.item.id = derive_record_id(item.item);
     }
     return std::move(item.item);
 }
 
-auto derived_id(const inventory::record& item) -> common::record_id
+auto derive_record_id(const inventory::record& item) -> common::record_id
 {
     auto content = item;
-    content.id = common::record_id{no_id};
+    content.id = common::record_id{placeholder_id};
     content.author = "";
     content.at = common::wall_time_ms{0};
     const auto hash = inventory::sha256_hex(inventory::format_record(content));
@@ -97,61 +98,65 @@
 }
 
 auto make_record(
-    std::vector<inventory::change> changes, const draft_defaults& defaults, common::log_offset seen)
-    -> inventory::record
+    std::vector<inventory::change> changes,
+    const draft_defaults& defaults,
+    common::log_offset current_offset) -> inventory::record
 {
-    inventory::record made;
-    made.author = defaults.author;
-    made.at = defaults.at;
-    made.base = defaults.base.value_or(seen);
-    made.changes = std::move(changes);
-    made.id = derived_id(made);
-    return made;
+    inventory::record result;
+    result.author = defaults.author;
+    result.at = defaults.at;
+    result.base = defaults.base.value_or(current_offset);
+    result.changes = std::move(changes);
+    result.id = derive_record_id(result);
+    return result;
 }
 
-auto first_share() -> common::permille
+auto default_first_share() -> common::permille
 {
     return control::default_steps().front().share;
 }
 
-auto start_rollout(const rollout_start& wanted) -> std::vector<inventory::change>
+auto make_rollout_changes(const rollout_settings& settings) -> std::vector<inventory::change>
 {
     inventory::rollout item;
-    item.id = wanted.id;
-    item.model = wanted.model;
-    item.from = wanted.from;
-    item.to = wanted.to;
-    item.share = wanted.share;
-    item.step = step_of(wanted.share);
+    item.id = settings.id;
+    item.model = settings.model;
+    item.from = settings.from;
+    item.to = settings.to;
+    item.share = settings.share;
+    item.step = step_for_share(settings.share);
     return {inventory::put_change{std::move(item)}};
 }
 
-auto parse_rollout_verb(std::string_view word) -> common::result<rollout_verb>
+auto parse_rollout_action(std::string_view word) -> common::result<rollout_action>
 {
     if (word == "pause") {
-        return rollout_verb::pause;
+        return rollout_action::pause;
     }
     if (word == "resume") {
-        return rollout_verb::resume;
+        return rollout_action::resume;
     }
     if (word == "abort") {
-        return rollout_verb::abort;
+        return rollout_action::abort;
     }
-    return failure(result_code::malformed_request, "a roll-out can start, pause, resume or abort");
+    return failure(
+        result_code::malformed_request,
+        "the action of a roll-out must be start, pause, resume or abort");
 }
 
-auto steer_rollout(const inventory::state& current, const std::string& id, rollout_verb verb)
+auto change_rollout_status(
+    const inventory::state& current, const std::string& id, rollout_action action)
     -> common::result<std::vector<inventory::change>>
 {
     const auto found = current.rollouts.find(id);
     if (found == current.rollouts.end()) {
-        return failure(result_code::not_found, "there is no roll-out " + id);
+        return failure(result_code::not_found, "unknown roll-out " + id);
     }
     auto item = found->second;
-    if (item.status == status_after(verb)) {
+    if (item.status == status_after(action)) {
         return std::vector<inventory::change>{};
     }
-    item.status = status_after(verb);
+    item.status = status_after(action);
     return std::vector<inventory::change>{inventory::put_change{std::move(item)}};
 }
 
--- a/source/core/operators/drafts.hpp
+++ b/source/core/operators/drafts.hpp
@@ -14,37 +14,40 @@
 
 namespace reedramp::operators {
 
-/// What the command line adds to a record file.
+/// Values from the command line that complete a record file.
 struct draft_defaults {
     std::string author = "operator";
     common::wall_time_ms at;
-    /// Goes before the file's own base.
+    /// Overrides the base in the file.
     std::optional<common::log_offset> base;
 };
 
-/// A record file, in which id, author, time and base may be missing.
+/// A record read from a file in which id, author, time and base may be missing.
 struct draft {
     inventory::record item;
     bool has_id = false;
     bool has_base = false;
 };
 
-/// Errors: `invalid_record` with the path of the member that is wrong.
+/// Reads a record file. Errors: `invalid_record` with the path of the invalid member.
 auto read_draft(std::string_view text, const draft_defaults& defaults) -> common::result<draft>;
 
-/// Fills in what is missing: the base is then the state's offset, and the id is made from base and
-/// changes. A publication whose answer was lost is thus repeated under the same id, and the log's
-/// readers take the second copy for what it is.
-auto finish(draft item, common::log_offset seen) -> inventory::record;
+/// Fills in missing members: `current_offset` as the base, and an id derived from base and changes.
+/// A publication whose answer was lost is thus repeated under the same id, and the readers of the
+/// log recognise the second copy as a duplicate.
+auto complete_draft(draft item, common::log_offset current_offset) -> inventory::record;
 
-auto derived_id(const inventory::record& item) -> common::record_id;
+/// Id from a hash of the record's base and changes. Independent of its author and time.
+auto derive_record_id(const inventory::record& item) -> common::record_id;
 
-/// A record of `changes` onto `seen`, with a derived id.
+/// Creates a record of `changes` with a derived id, based on `current_offset` unless `defaults` has
+/// a base.
 auto make_record(
-    std::vector<inventory::change> changes, const draft_defaults& defaults, common::log_offset seen)
-    -> inventory::record;
+    std::vector<inventory::change> changes,
+    const draft_defaults& defaults,
+    common::log_offset current_offset) -> inventory::record;
 
-struct rollout_start {
+struct rollout_settings {
     std::string id;
     common::model_id model;
     common::version_id from;
@@ -52,18 +55,20 @@
     common::permille share;
 };
 
-/// The share of a roll-out's first step.
-auto first_share() -> common::permille;
+/// Share of the first step of the default roll-out steps.
+auto default_first_share() -> common::permille;
 
-auto start_rollout(const rollout_start& wanted) -> std::vector<inventory::change>;
+auto make_rollout_changes(const rollout_settings& settings) -> std::vector<inventory::change>;
 
-enum class rollout_verb : std::uint8_t { pause, resume, abort };
+enum class rollout_action : std::uint8_t { pause, resume, abort };
 
 /// Errors: `malformed_request`.
-auto parse_rollout_verb(std::string_view word) -> common::result<rollout_verb>;
+auto parse_rollout_action(std::string_view word) -> common::result<rollout_action>;
 
-/// Empty if the roll-out is in the wanted status already. Errors: `not_found`.
-auto steer_rollout(const inventory::state& current, const std::string& id, rollout_verb verb)
+/// Changes that give the roll-out the status that `action` asks for; empty if it has that status
+/// already. Errors: `not_found`.
+auto change_rollout_status(
+    const inventory::state& current, const std::string& id, rollout_action action)
     -> common::result<std::vector<inventory::change>>;
 
 } // namespace reedramp::operators
--- a/source/core/operators/requests.cpp
+++ b/source/core/operators/requests.cpp
@@ -12,20 +12,20 @@
 
 auto post(std::string target, std::string body) -> http::request
 {
-    http::request asked;
-    asked.method = "POST";
-    asked.target = std::move(target);
-    asked.headers.push_back({"Content-Type", "application/json"});
-    asked.body = std::move(body);
-    return asked;
+    http::request request;
+    request.method = "POST";
+    request.target = std::move(target);
+    request.headers.push_back({"Content-Type", "application/json"});
+    request.body = std::move(body);
+    return request;
 }
 
 auto get(std::string target) -> http::request
 {
-    http::request asked;
-    asked.method = "GET";
-    asked.target = std::move(target);
-    return asked;
+    http::request request;
+    request.method = "GET";
+    request.target = std::move(target);
+    return request;
 }
 
 } // namespace
@@ -61,10 +61,10 @@
     return get("/health/ready");
 }
 
-auto with_key(http::request asked, const std::string& key) -> http::request
+auto with_key(http::request request, const std::string& key) -> http::request
 {
-    asked.headers.push_back({"Authorization", "Bearer " + key});
-    return asked;
+    request.headers.push_back({"Authorization", "Bearer " + key});
+    return request;
 }
 
 } // namespace reedramp::operators
--- a/source/core/operators/requests.hpp
+++ b/source/core/operators/requests.hpp
@@ -7,8 +7,8 @@
 #include "http/message.hpp"
 #include "inventory/record.hpp"
 
-/// What an operator's command asks of the administration API, and what its answers mean. No I/O:
-/// the program `reedramp-ctl` sends the requests.
+/// Requests of the operators' commands to the administration API, and the interpretation of the
+/// answers. Does no I/O: the program `reedramp-ctl` sends the requests.
 namespace reedramp::operators {
 
 /// `GET /admin/v1/<resource>`.
@@ -18,16 +18,17 @@
 
 auto withdraw_request(const common::version_id& version) -> http::request;
 
-/// To the agent beside a backend server.
+/// For the agent of a backend server.
 auto drain_request() -> http::request;
 
-/// To any process.
+/// For an entry or an agent.
 auto metrics_request() -> http::request;
 
-/// To any process: whether it takes work.
+/// For an entry or an agent: asks whether it is ready.
 auto health_request() -> http::request;
 
-/// The request with the operator's key. The key goes into this header only, never into a log line.
-auto with_key(http::request asked, const std::string& key) -> http::request;
+/// Adds the operator's key as a header. The key must not appear anywhere else, such as in a log
+/// line.
+auto with_key(http::request request, const std::string& key) -> http::request;
 
 } // namespace reedramp::operators
--- a/source/core/operators/watch.cpp
+++ b/source/core/operators/revision_watch.cpp
@@ -1,4 +1,4 @@
-#include "operators/watch.hpp"
+#include "operators/revision_watch.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-#include "operators/table.hpp"
+#include "operators/text_table.hpp"
 #include "platform/json_fields.hpp"
 
 namespace reedramp::operators {
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// How many late processes an error names; the table has them all.
-constexpr std::size_t named_processes = 10;
+/// Maximum number of pending processes that an error message lists; the table shows them all.
+constexpr std::size_t max_named_processes = 10;
 constexpr std::string_view offset_metric = "_configuration_offset ";
 
 auto role_text(platform::host_role role) -> std::string
@@ -28,17 +28,17 @@
 
 auto names_of(const std::vector<watched_process>& items) -> std::string
 {
-    std::string made;
-    for (std::size_t index = 0; index < std::min(items.size(), named_processes); ++index) {
-        made += (index == 0 ? "" : ", ") + items[index].row.host.value();
+    std::string result;
+    for (std::size_t index = 0; index < std::min(items.size(), max_named_processes); ++index) {
+        result += (index == 0 ? "" : ", ") + items[index].row.host.value();
     }
-    if (items.size() > named_processes) {
-        made += ", and " + std::to_string(items.size() - named_processes) + " more";
+    if (items.size() > max_named_processes) {
+        result += ", and " + std::to_string(items.size() - max_named_processes) + " more";
     }
-    return made;
+    return result;
 }
 
-auto lacks(const watched_process& item) -> bool
+auto is_pending(const watched_process& item) -> bool
 {
     return !item.in_force_at.has_value();
 }
@@ -51,27 +51,27 @@
     const auto* const end = word.data() + word.size();
     const auto read = std::from_chars(word.data(), end, value);
     if (word.empty() || read.ec != std::errc{} || read.ptr != end) {
-        return failure(result_code::malformed_request, "not a revision: " + std::string(word));
+        return failure(result_code::malformed_request, "invalid revision: " + std::string(word));
     }
     return common::log_offset{value};
 }
 
-auto status_offset(std::string_view status) -> common::log_offset
+auto parse_status_offset(std::string_view status) -> common::log_offset
 {
     const auto answer = platform::parse_object(status).value_or(boost::json::object{});
     return common::log_offset{platform::count_field(answer, "offset").value_or(0)};
 }
 
-auto configuration_offset(std::string_view metrics) -> std::optional<common::log_offset>
+auto parse_configuration_offset(std::string_view metrics) -> std::optional<common::log_offset>
 {
     while (!metrics.empty()) {
         const auto line = metrics.substr(0, metrics.find('\n'));
         metrics.remove_prefix(std::min(line.size() + 1, metrics.size()));
-        const auto place = line.find(offset_metric);
-        if (line.starts_with('#') || place == std::string_view::npos) {
+        const auto position = line.find(offset_metric);
+        if (line.starts_with('#') || position == std::string_view::npos) {
             continue;
         }
-        const auto number = line.substr(place + offset_metric.size());
+        const auto number = line.substr(position + offset_metric.size());
         double value = 0; // Prometheus text holds floating-point numbers.
         const auto read = std::from_chars(number.data(), number.data() + number.size(), value);
         if (read.ec == std::errc{} && value >= 0) {
@@ -81,9 +81,12 @@
     return std::nullopt;
 }
 
-watch::watch(common::log_offset wanted, common::time_point now) : revision(wanted), begin(now) {}
+revision_watch::revision_watch(common::log_offset wanted, common::time_point now)
+    : revision(wanted), begin(now)
+{
+}
 
-auto watch::take_hosts(const std::vector<platform::host_entry>& rows) -> void
+auto revision_watch::update_hosts(const std::vector<platform::host_entry>& rows) -> void
 {
     std::set<common::host_id> live;
     for (const auto& row : rows) {
@@ -102,7 +105,7 @@
         this->processes, [&live](const auto& item) { return !live.contains(item.first); });
 }
 
-auto watch::take_metrics(
+auto revision_watch::apply_metrics(
     const common::host_id& host, const common::result<std::string>& metrics, common::time_point now)
     -> void
 {
@@ -116,79 +119,80 @@
         return;
     }
     item.problem.clear();
-    item.offset = configuration_offset(*metrics);
+    item.offset = parse_configuration_offset(*metrics);
     if (!item.offset) {
-        item.problem = "its metrics show no configuration";
+        item.problem = "its metrics contain no configuration offset";
     }
-    else if (*item.offset >= this->revision && lacks(item)) {
+    else if (*item.offset >= this->revision && is_pending(item)) {
         item.in_force_at = now;
     }
 }
 
-auto watch::waiting() const -> std::vector<watched_process>
+auto revision_watch::pending_processes() const -> std::vector<watched_process>
 {
-    std::vector<watched_process> made;
+    std::vector<watched_process> result;
     for (const auto& [host, item] : this->processes) {
-        if (lacks(item)) {
-            made.push_back(item);
+        if (is_pending(item)) {
+            result.push_back(item);
         }
     }
-    return made;
+    return result;
 }
 
-auto watch::in_force() const -> std::size_t
+auto revision_watch::in_force_count() const -> std::size_t
 {
-    return this->processes.size() - this->waiting().size();
+    return this->processes.size() - this->pending_processes().size();
 }
 
-auto watch::complete() const -> bool
+auto revision_watch::complete() const -> bool
 {
-    return !this->processes.empty() && this->waiting().empty();
+    return !this->processes.empty() && this->pending_processes().empty();
 }
 
-auto watch::outcome() const -> common::result<void>
+auto revision_watch::outcome() const -> common::result<void>
 {
     if (this->complete()) {
         return {};
     }
-    const auto late = this->waiting();
-    if (late.empty()) {
-        return failure(result_code::peer_unavailable, "the host list names no live process");
+    const auto pending = this->pending_processes();
+    if (pending.empty()) {
+        return failure(result_code::peer_unavailable, "the host list contains no live process");
     }
-    const auto all_silent =
-        std::ranges::none_of(late, &std::string::empty, &watched_process::problem);
-    const auto code = all_silent ? result_code::peer_unavailable : result_code::stale_configuration;
+    const auto all_failed =
+        std::ranges::none_of(pending, &std::string::empty, &watched_process::problem);
+    const auto code = all_failed ? result_code::peer_unavailable : result_code::stale_configuration;
     return failure(
         code,
         "revision " + std::to_string(this->revision.value()) + " is not in force on " +
-            names_of(late));
+            names_of(pending));
 }
 
-auto watch::progress_text() const -> std::string
+auto revision_watch::progress_text() const -> std::string
 {
     return "revision " + std::to_string(this->revision.value()) + " in force on " +
-           std::to_string(this->in_force()) + " of " + std::to_string(this->size()) + " processes";
+           std::to_string(this->in_force_count()) + " of " + std::to_string(this->size()) +
+           " processes";
 }
 
-auto watch::slowest_first() const -> std::vector<watched_process>
+auto revision_watch::slowest_first() const -> std::vector<watched_process>
 {
-    std::vector<watched_process> made;
+    std::vector<watched_process> result;
     for (const auto& [host, item] : this->processes) {
-        made.push_back(item);
+        result.push_back(item);
     }
-    std::ranges::stable_sort(made, [](const auto& left, const auto& right) {
+    std::ranges::stable_sort(result, [](const auto& left, const auto& right) {
         const auto left_at = left.in_force_at.value_or(common::never);
         return left_at > right.in_force_at.value_or(common::never);
     });
-    return made;
+    return result;
 }
 
-auto watch::milliseconds(common::time_point when) const -> std::int64_t
+auto revision_watch::milliseconds_since_begin(common::time_point when) const -> std::int64_t
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(when - this->begin).count();
 }
 
-auto watch::text() const -> std::string
+auto revision_watch::text() const -> std::string
 {
     text_table table({"host", "role", "data centre", "offset", "in force after ms", "problem"});
     for (const auto& item : this->slowest_first()) {
@@ -197,13 +201,14 @@
              role_text(item.row.role),
              item.row.data_centre.value(),
              item.offset ? std::to_string(item.offset->value()) : "",
-             item.in_force_at ? std::to_string(this->milliseconds(*item.in_force_at)) : "",
+             item.in_force_at ? std::to_string(this->milliseconds_since_begin(*item.in_force_at))
+                              : "",
              item.problem});
     }
     return table.text() + this->progress_text() + "\n";
 }
 
-auto watch::json() const -> std::string
+auto revision_watch::json() const -> std::string
 {
     json::array rows;
     for (const auto& item : this->slowest_first()) {
@@ -216,13 +221,13 @@
             row["offset"] = item.offset->value();
         }
         if (item.in_force_at) {
-            row["in_force_after_ms"] = this->milliseconds(*item.in_force_at);
+            row["in_force_after_ms"] = this->milliseconds_since_begin(*item.in_force_at);
         }
         rows.push_back(std::move(row));
     }
     return json::serialize(json::object{
         {"revision", this->revision.value()},
-        {"in_force", this->in_force()},
+        {"in_force", this->in_force_count()},
         {"processes", std::move(rows)},
         {"complete", this->complete()}});
 }
--- a/source/core/operators/state_view.cpp
+++ b/source/core/operators/state_view.cpp
@@ -1,4 +1,4 @@
-#include "operators/table.hpp"
+#include "operators/text_table.hpp"
 #include "operators/views.hpp"
 
 #include "inventory/entity_json.hpp"
@@ -14,16 +14,16 @@
 namespace {
 
 template <typename Ids>
-auto joined(const Ids& ids) -> std::string
+auto join_ids(const Ids& ids) -> std::string
 {
-    std::string made;
+    std::string result;
     for (const auto& id : ids) {
-        made += (made.empty() ? "" : " ") + id.value();
+        result += (result.empty() ? "" : " ") + id.value();
     }
-    return made;
+    return result;
 }
 
-auto status_word(inventory::rollout_status status) -> std::string
+auto status_name(inventory::rollout_status status) -> std::string
 {
     switch (status) {
     case inventory::rollout_status::running:
@@ -38,7 +38,7 @@
     return "unknown";
 }
 
-auto stage_word(const inventory::state& current, const inventory::version& item) -> std::string
+auto stage_name(const inventory::state& current, const inventory::version& item) -> std::string
 {
     if (current.is_withdrawn(item.id)) {
         return "withdrawn";
@@ -62,7 +62,7 @@
         table.add(
             {id.value(),
              item.model.value(),
-             stage_word(current, item),
+             stage_name(current, item),
              money_text(item.prompt_price.value()),
              money_text(item.completion_price.value()),
              std::to_string(item.changed.value())});
@@ -81,7 +81,7 @@
              item.data_centre.value(),
              item.region.value(),
              is_engine ? "engine" : "service",
-             is_engine ? joined(item.versions) : item.service.value(),
+             is_engine ? join_ids(item.versions) : item.service.value(),
              std::to_string(item.changed.value())});
     }
     return table.text();
@@ -91,11 +91,11 @@
 {
     text_table table({"service", "idempotent", "at most once", "changed"});
     const auto words = [](const std::vector<std::string>& methods) {
-        std::string made;
+        std::string result;
         for (const auto& method : methods) {
-            made += (made.empty() ? "" : " ") + method;
+            result += (result.empty() ? "" : " ") + method;
         }
-        return made;
+        return result;
     };
     for (const auto& [name, item] : current.services) {
         table.add(
@@ -115,9 +115,9 @@
         table.add(
             {id.value(),
              std::to_string(item.key_hashes.size()),
-             joined(item.models),
-             joined(item.versions),
-             joined(item.services),
+             join_ids(item.models),
+             join_ids(item.versions),
+             join_ids(item.services),
              item.limits.requests == 0 ? "any" : std::to_string(item.limits.requests),
              std::to_string(item.changed.value())});
     }
@@ -135,7 +135,7 @@
              item.to.value(),
              percent_text(item.share.value()),
              std::to_string(item.step),
-             status_word(item.status),
+             status_name(item.status),
              std::to_string(item.changed.value())});
     }
     return table.text();
@@ -162,7 +162,7 @@
 
 auto all_tables(const inventory::state& current) -> std::string
 {
-    auto made = "revision " + std::to_string(current.offset.value()) + "\n";
+    auto result = "revision " + std::to_string(current.offset.value()) + "\n";
     for (const auto kind :
          {entity_kind::model,
           entity_kind::version,
@@ -171,9 +171,9 @@
           entity_kind::organisation,
           entity_kind::rollout}) {
         const auto table = table_of(current, kind);
-        made += table.empty() ? "" : "\n" + table;
+        result += table.empty() ? "" : "\n" + table;
     }
-    return made;
+    return result;
 }
 
 } // namespace
@@ -186,14 +186,14 @@
     }
     const auto known = inventory::kind_from_text(kind);
     if (!known) {
-        return failure(result_code::not_found, "there is no kind " + kind);
+        return failure(result_code::not_found, "unknown kind of entity " + kind);
     }
     if (id.empty()) {
         return table_of(current, *known);
     }
     auto text = inventory::entity_text(current, {*known, id});
     if (text.empty()) {
-        return failure(result_code::not_found, "there is no " + kind + " " + id);
+        return failure(result_code::not_found, "unknown " + kind + " " + id);
     }
     return text + "\n";
 }
--- a/source/core/operators/status_view.cpp
+++ b/source/core/operators/status_view.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "operators/answers.hpp"
-#include "operators/table.hpp"
+#include "operators/text_table.hpp"
 #include "platform/http_hosts.hpp"
 #include "platform/json_fields.hpp"
 
@@ -23,7 +23,7 @@
 
 using counts = std::map<std::string, std::uint64_t>;
 
-auto read_status(const entry_report& report) -> json::object
+auto parse_status(const entry_status& report) -> json::object
 {
     if (!report.status) {
         return {};
@@ -43,14 +43,14 @@
     }
 }
 
-/// Sum over all entries that answered.
-auto sum_of(const system_report& report, const char* member) -> counts
+/// Sums the counts in `member` over all entries that answered.
+auto sum_counts(const system_status& report, const char* member) -> counts
 {
-    counts made;
+    counts result;
     for (const auto& entry : report.entries) {
-        add_counts(read_status(entry), member, made);
+        add_counts(parse_status(entry), member, result);
     }
-    return made;
+    return result;
 }
 
 auto freshness_text(const json::object& status) -> std::string
@@ -62,7 +62,7 @@
     return *left > 0 ? std::to_string(static_cast<std::int64_t>(*left)) + " ms" : "STALE";
 }
 
-auto entries_table(const system_report& report) -> std::string
+auto entries_table(const system_status& report) -> std::string
 {
     text_table table(
         {"entry", "host", "ready", "revision", "fresh for", "in flight", "answered", "retries"});
@@ -72,7 +72,7 @@
             table.add({entry.entry, "", name});
             continue;
         }
-        const auto status = read_status(entry);
+        const auto status = parse_status(entry);
         const auto count = [&status](const char* name) {
             return std::to_string(count_field(status, name).value_or(0));
         };
@@ -89,7 +89,7 @@
     return table.text();
 }
 
-auto hosts_table(const std::vector<host_report>& hosts) -> std::string
+auto hosts_table(const std::vector<host_status>& hosts) -> std::string
 {
     text_table table({"host", "role", "data centre", "region", "listed", "says", "http"});
     for (const auto& [row, health] : hosts) {
@@ -105,8 +105,8 @@
     return table.text();
 }
 
-/// Share of the whole answers since the entries started.
-auto share_of(const counts& answers, const std::string& version) -> std::uint64_t
+/// Share of a version in all answers since the entries started, in permille.
+auto share_permille(const counts& answers, const std::string& version) -> std::uint64_t
 {
     constexpr std::uint64_t whole = 1000;
     std::uint64_t total = 0;
@@ -117,33 +117,34 @@
     return found == answers.end() || total == 0 ? 0 : found->second * whole / total;
 }
 
-/// Versions that any entry takes for withdrawn, also before the log has the record.
-auto withdrawn_anywhere(const system_report& report) -> std::set<std::string>
+/// Versions that at least one entry treats as withdrawn, even if the log does not contain the
+/// withdrawal yet.
+auto withdrawn_at_any_entry(const system_status& report) -> std::set<std::string>
 {
-    std::set<std::string> made;
+    std::set<std::string> result;
     for (const auto& entry : report.entries) {
-        const auto status = read_status(entry);
+        const auto status = parse_status(entry);
         const auto* names = platform::array_field(status, "withdrawn");
         if (names == nullptr) {
             continue;
         }
         for (const auto& name : *names) {
             if (const auto* text = name.if_string()) {
-                made.emplace(text->data(), text->size());
+                result.emplace(text->data(), text->size());
             }
         }
     }
-    return made;
+    return result;
 }
 
-/// Answers by version; those of the inventory that have none yet are listed too.
-auto versions_table(const system_report& report) -> std::string
+/// Answers by version, including versions of the inventory that have no answers yet.
+auto versions_table(const system_status& report) -> std::string
 {
-    const auto answers = sum_of(report, "versions");
+    const auto answers = sum_counts(report, "versions");
     auto listed = answers;
-    auto withdrawn = withdrawn_anywhere(report);
-    inventory::state nothing;
-    const auto& current = report.state ? *report.state : nothing;
+    auto withdrawn = withdrawn_at_any_entry(report);
+    inventory::state empty_state;
+    const auto& current = report.state ? *report.state : empty_state;
     for (const auto& [id, item] : current.versions) {
         listed.try_emplace(id.value(), 0);
     }
@@ -161,15 +162,19 @@
             stage = "WITHDRAWN";
         }
         table.add(
-            {name, model, stage, std::to_string(count), percent_text(share_of(answers, name))});
+            {name,
+             model,
+             stage,
+             std::to_string(count),
+             percent_text(share_permille(answers, name))});
     }
     return table.text();
 }
 
-auto refusals_table(const system_report& report) -> std::string
+auto refusals_table(const system_status& report) -> std::string
 {
     text_table table({"refusal", "count"});
-    for (const auto& [name, count] : sum_of(report, "refusals")) {
+    for (const auto& [name, count] : sum_counts(report, "refusals")) {
         table.add({name, std::to_string(count)});
     }
     return table.text();
@@ -177,7 +182,7 @@
 
 auto organisations_table(const std::string& bills) -> std::string
 {
-    constexpr std::size_t most = 10;
+    constexpr std::size_t max_rows = 10;
 
     struct row {
         std::string name;
@@ -200,7 +205,7 @@
         }
     }
     std::ranges::stable_sort(rows, std::greater<>(), &row::cost);
-    rows.resize(std::min(rows.size(), most));
+    rows.resize(std::min(rows.size(), max_rows));
     text_table table({"organisation", "requests", "money"});
     for (const auto& item : rows) {
         const auto cost = static_cast<std::int64_t>(item.cost);
@@ -209,7 +214,7 @@
     return table.text();
 }
 
-auto add_part(std::string& into, const std::string& part) -> void
+auto append_section(std::string& into, const std::string& part) -> void
 {
     if (!part.empty()) {
         into += (into.empty() ? "" : "\n") + part;
@@ -218,41 +223,41 @@
 
 } // namespace
 
-auto status_text(const system_report& report) -> std::string
+auto status_text(const system_status& report) -> std::string
 {
-    std::string made;
-    add_part(made, entries_table(report));
+    std::string result;
+    append_section(result, entries_table(report));
     if (report.hosts) {
-        add_part(made, hosts_table(*report.hosts));
+        append_section(result, hosts_table(*report.hosts));
     }
     if (report.state) {
-        add_part(made, state_text(*report.state, "server").value_or(""));
+        append_section(result, state_text(*report.state, "server").value_or(""));
     }
-    add_part(made, versions_table(report));
+    append_section(result, versions_table(report));
     if (report.state) {
-        add_part(made, state_text(*report.state, "rollout").value_or(""));
+        append_section(result, state_text(*report.state, "rollout").value_or(""));
     }
-    add_part(made, refusals_table(report));
+    append_section(result, refusals_table(report));
     if (report.bills) {
-        add_part(made, organisations_table(*report.bills));
+        append_section(result, organisations_table(*report.bills));
     }
-    return made;
+    return result;
 }
 
-auto status_json(const system_report& report) -> std::string
+auto status_json(const system_status& report) -> std::string
 {
     json::array entries;
     for (const auto& entry : report.entries) {
         json::object row{{"entry", entry.entry}};
         if (entry.status) {
-            row["status"] = read_status(entry);
+            row["status"] = parse_status(entry);
         }
         else {
             row["error"] = json::parse(error_json(entry.status.error())).at("error");
         }
         entries.push_back(std::move(row));
     }
-    json::object made{{"entries", std::move(entries)}};
+    json::object result{{"entries", std::move(entries)}};
     if (report.hosts) {
         json::array hosts;
         for (const auto& [row, health] : *report.hosts) {
@@ -260,12 +265,12 @@
             host["says"] = health;
             hosts.push_back(std::move(host));
         }
-        made["hosts"] = std::move(hosts);
+        result["hosts"] = std::move(hosts);
     }
     if (report.bills) {
-        made["bills"] = platform::parse_object(*report.bills).value_or(json::object{});
+        result["bills"] = platform::parse_object(*report.bills).value_or(json::object{});
     }
-    return json::serialize(made);
+    return json::serialize(result);
 }
 
 } // namespace reedramp::operators
--- a/source/core/operators/table.cpp
+++ b/source/core/operators/text_table.cpp
@@ -1,4 +1,4 @@
-#include "operators/table.hpp"
+#include "operators/text_table.hpp"
 
 #include <algorithm>
 #include <array>
@@ -9,26 +9,27 @@
 
 namespace {
 
-constexpr std::size_t gap = 2;
+constexpr std::size_t column_gap = 2;
 
 auto is_number(const std::string& cell) -> bool
 {
     return !cell.empty() && cell.find_first_not_of("0123456789.-% ") == std::string::npos;
 }
 
-auto add_cell(std::string& line, const std::string& cell, std::size_t width, bool to_right) -> void
+auto add_cell(std::string& line, const std::string& cell, std::size_t width, bool right_aligned)
+    -> void
 {
     const std::string padding(width - cell.size(), ' ');
-    line += to_right ? padding + cell : cell + padding;
+    line += right_aligned ? padding + cell : cell + padding;
 }
 
 } // namespace
 
-text_table::text_table(std::vector<std::string> column_names) : names(std::move(column_names)) {}
+text_table::text_table(std::vector<std::string> titles) : column_titles(std::move(titles)) {}
 
 auto text_table::add(std::vector<std::string> cells) -> void
 {
-    cells.resize(this->names.size());
+    cells.resize(this->column_titles.size());
     this->rows.push_back(std::move(cells));
 }
 
@@ -37,31 +38,31 @@
     if (this->rows.empty()) {
         return {};
     }
-    const auto columns = this->names.size();
+    const auto columns = this->column_titles.size();
     std::vector<std::size_t> widths(columns);
-    std::vector<bool> to_right(columns, true);
+    std::vector<bool> right_aligned(columns, true);
     for (std::size_t column = 0; column < columns; ++column) {
-        widths[column] = this->names[column].size();
+        widths[column] = this->column_titles[column].size();
         for (const auto& row : this->rows) {
             widths[column] = std::max(widths[column], row[column].size());
-            to_right[column] = to_right[column] && is_number(row[column]);
+            right_aligned[column] = right_aligned[column] && is_number(row[column]);
         }
     }
-    std::string made;
+    std::string result;
     const auto add_line = [&](const std::vector<std::string>& cells) {
         std::string line;
         for (std::size_t column = 0; column < columns; ++column) {
-            add_cell(line, cells[column], widths[column], to_right[column]);
-            line.append(gap, ' ');
+            add_cell(line, cells[column], widths[column], right_aligned[column]);
+            line.append(column_gap, ' ');
         }
         line.erase(line.find_last_not_of(' ') + 1);
-        made += line + "\n";
+        result += line + "\n";
     };
-    add_line(this->names);
+    add_line(this->column_titles);
     for (const auto& row : this->rows) {
         add_line(row);
     }
-    return made;
+    return result;
 }
 
 auto percent_text(std::uint64_t permille) -> std::string
@@ -72,8 +73,8 @@
 auto money_text(std::int64_t micro) -> std::string
 {
     constexpr double millionths = 1e6;
-    constexpr std::size_t longest = 32;
-    std::array<char, longest> text{};
+    constexpr std::size_t buffer_size = 32;
+    std::array<char, buffer_size> text{};
     std::snprintf(text.data(), text.size(), "%.6f", static_cast<double>(micro) / millionths);
     return text.data();
 }
--- a/source/core/operators/table.hpp
+++ b/source/core/operators/text_table.hpp
@@ -5,28 +5,29 @@
 
 namespace reedramp::operators {
 
-/// A table for a terminal: columns as wide as their widest cell, numbers to the right.
+/// A table for a terminal. Columns are as wide as their widest cell; numeric columns are
+/// right-aligned.
 class text_table {
 public:
-    explicit text_table(std::vector<std::string> column_names);
+    explicit text_table(std::vector<std::string> titles);
 
-    /// A row with fewer cells than columns is filled with empty ones.
+    /// Adds a row; missing cells at its end are empty.
     auto add(std::vector<std::string> cells) -> void;
 
     [[nodiscard]] auto empty() const -> bool { return this->rows.empty(); }
 
-    /// Empty if there is no row.
+    /// The formatted table; empty if it has no rows.
     [[nodiscard]] auto text() const -> std::string;
 
 private:
-    std::vector<std::string> names;
+    std::vector<std::string> column_titles;
     std::vector<std::vector<std::string>> rows;
 };
 
-/// "12.5 %" of 125 permille.
+/// Formats permille as percent: "12.5 %" for 125.
 auto percent_text(std::uint64_t permille) -> std::string;
 
-/// "0.012500" of 12500 millionths.
+/// Formats an amount in millionths: "0.012500" for 12500.
 auto money_text(std::int64_t micro) -> std::string;
 
 } // namespace reedramp::operators
--- a/source/ctl/caller.cpp
+++ b/source/ctl/caller.cpp
@@ -21,7 +21,7 @@
 using answer_future = std::future<common::result<http::response>>;
 
 auto start(
-    const std::shared_ptr<http::client>& by, const http::endpoint& where, http::request asked)
+    const std::shared_ptr<http::client>& by, const http::endpoint& where, http::request request)
     -> answer_future
 {
     const auto promise = std::make_shared<std::promise<common::result<http::response>>>();
@@ -29,7 +29,7 @@
     events.on_done = [promise](common::result<http::response> answer) {
         promise->set_value(std::move(answer));
     };
-    by->send(where, std::move(asked), std::move(events));
+    by->send(where, std::move(request), std::move(events));
     return promise->get_future();
 }
 
@@ -58,37 +58,37 @@
 }
 
 auto caller::send(
-    const std::shared_ptr<http::client>& by, const http::endpoint& where, http::request asked)
+    const std::shared_ptr<http::client>& by, const http::endpoint& where, http::request request)
     -> common::result<std::string>
 {
-    auto answer = operators::body_of(start(by, where, std::move(asked)).get());
+    auto answer = operators::response_body(start(by, where, std::move(request)).get());
     if (!answer && answer.error().code == common::result_code::peer_unavailable) {
         answer.error().detail = http::to_string(where) + ": " + answer.error().detail;
     }
     return answer;
 }
 
-auto caller::ask(const http::endpoint& where, http::request asked) -> common::result<std::string>
+auto caller::ask(const http::endpoint& where, http::request request) -> common::result<std::string>
 {
-    return this->send(this->patient, where, operators::with_key(std::move(asked), this->key));
+    return this->send(this->patient, where, operators::with_key(std::move(request), this->key));
 }
 
 auto caller::answers_of(const std::vector<addressed_request>& questions)
     -> std::vector<common::result<http::response>>
 {
-    std::vector<common::result<http::response>> made;
-    made.reserve(questions.size());
-    while (made.size() < questions.size()) {
-        const auto count = std::min(most_under_way, questions.size() - made.size());
+    std::vector<common::result<http::response>> result;
+    result.reserve(questions.size());
+    while (result.size() < questions.size()) {
+        const auto count = std::min(most_under_way, questions.size() - result.size());
         std::vector<answer_future> under_way;
-        for (const auto& [where, asked] : std::span(questions).subspan(made.size(), count)) {
-            under_way.push_back(start(this->quick, where, asked));
+        for (const auto& [where, request] : std::span(questions).subspan(result.size(), count)) {
+            under_way.push_back(start(this->quick, where, request));
         }
         for (auto& future : under_way) {
-            made.push_back(future.get());
+            result.push_back(future.get());
         }
     }
-    return made;
+    return result;
 }
 
 auto caller::ask_all(std::vector<addressed_request> questions, bool with_key)
@@ -96,25 +96,25 @@
 {
     if (with_key) {
         for (auto& question : questions) {
-            question.asked = operators::with_key(std::move(question.asked), this->key);
+            question.request = operators::with_key(std::move(question.request), this->key);
         }
     }
-    std::vector<common::result<std::string>> made;
-    made.reserve(questions.size());
+    std::vector<common::result<std::string>> result;
+    result.reserve(questions.size());
     for (const auto& answer : this->answers_of(questions)) {
-        made.push_back(operators::body_of(answer));
+        result.push_back(operators::response_body(answer));
     }
-    return made;
+    return result;
 }
 
-auto caller::ask_any(const std::vector<http::endpoint>& entries, const http::request& asked)
+auto caller::ask_any(const std::vector<http::endpoint>& entries, const http::request& request)
     -> common::result<std::string>
 {
     auto answer = common::result<std::string>(
         common::failure(common::result_code::peer_unavailable, "no entry is known"));
     for (const auto& where : entries) {
-        answer = this->ask(where, asked);
-        if (answer || !operators::may_ask_next(answer.error())) {
+        answer = this->ask(where, request);
+        if (answer || !operators::should_try_next_entry(answer.error())) {
             return answer;
         }
     }
@@ -123,10 +123,10 @@
 
 auto caller::hosts(const http::endpoint& where) -> common::result<std::vector<platform::host_entry>>
 {
-    http::request asked;
-    asked.method = "GET";
-    asked.target = "/hosts";
-    const auto body = this->send(this->quick, where, std::move(asked));
+    http::request request;
+    request.method = "GET";
+    request.target = "/hosts";
+    const auto body = this->send(this->quick, where, std::move(request));
     if (!body) {
         return common::failure(
             common::result_code::platform_unavailable, "host list " + body.error().detail);
@@ -136,26 +136,26 @@
 
 auto entries_of(caller& by, const options& given) -> common::result<std::vector<http::endpoint>>
 {
-    auto made = given.entries;
+    auto result = given.entries;
     if (!given.hosts) {
-        return made;
+        return result;
     }
     const auto rows = by.hosts(*given.hosts);
     if (!rows) {
-        if (made.empty()) {
+        if (result.empty()) {
             return tl::unexpected(rows.error());
         }
-        return made;
+        return result;
     }
     for (const auto& row : *rows) {
         const auto is_live_entry =
             row.role == platform::host_role::entry && row.state == platform::host_state::live;
         const auto where = http::parse_endpoint(row.http);
-        if (is_live_entry && where && std::ranges::find(made, *where) == made.end()) {
-            made.push_back(*where);
+        if (is_live_entry && where && std::ranges::find(result, *where) == result.end()) {
+            result.push_back(*where);
         }
     }
-    return made;
+    return result;
 }
 
 } // namespace reedramp::ctl
--- a/source/ctl/caller.hpp
+++ b/source/ctl/caller.hpp
@@ -18,7 +18,7 @@
 /// A request and where it goes.
 struct addressed_request {
     http::endpoint where;
-    http::request asked;
+    http::request request;
 };
 
 /// Sends requests and waits for their answers, from a thread that is none of the pool's.
@@ -32,7 +32,7 @@
     auto operator=(caller&&) -> caller& = delete;
 
     /// One question to an entry or an agent, with the operator's key.
-    auto ask(const http::endpoint& where, http::request asked) -> common::result<std::string>;
+    auto ask(const http::endpoint& where, http::request request) -> common::result<std::string>;
 
     /// Asks all at once; answers in the order of the questions. A process that is silent for two
     /// seconds counts as not answering. Without the operator's key if `with_key` is false.
@@ -44,14 +44,14 @@
         -> std::vector<common::result<http::response>>;
 
     /// Asks one entry after the other until one answers for good. Only for what may be asked twice.
-    auto ask_any(const std::vector<http::endpoint>& entries, const http::request& asked)
+    auto ask_any(const std::vector<http::endpoint>& entries, const http::request& request)
         -> common::result<std::string>;
 
     auto hosts(const http::endpoint& where) -> common::result<std::vector<platform::host_entry>>;
 
 private:
-    auto
-    send(const std::shared_ptr<http::client>& by, const http::endpoint& where, http::request asked)
+    auto send(
+        const std::shared_ptr<http::client>& by, const http::endpoint& where, http::request request)
         -> common::result<std::string>;
 
     std::string key;
--- a/source/ctl/change_commands.cpp
+++ b/source/ctl/change_commands.cpp
@@ -9,7 +9,7 @@
 #include "operators/answers.hpp"
 #include "operators/difference.hpp"
 #include "operators/drafts.hpp"
-#include "operators/publishing.hpp"
+#include "operators/publish.hpp"
 #include "operators/requests.hpp"
 
 namespace reedramp::ctl {
@@ -51,10 +51,10 @@
     if (!entries) {
         return tl::unexpected(entries.error());
     }
-    const operators::publishing way{
+    const operators::publish_transport way{
         entries->size(),
-        [&](std::size_t entry, http::request asked) {
-            return by.ask(entries->at(entry), std::move(asked));
+        [&](std::size_t entry, http::request request) {
+            return by.ask(entries->at(entry), std::move(request));
         },
         [] {
             std::this_thread::sleep_for(round_pause);
@@ -87,13 +87,13 @@
         return tl::unexpected(draft.error());
     }
     if (draft->has_base) {
-        return publish_and_tell(by, given, operators::finish(*draft, {}));
+        return publish_and_tell(by, given, operators::complete_draft(*draft, {}));
     }
     const auto current = fetch_state(by, given);
     if (!current) {
         return tl::unexpected(current.error());
     }
-    const auto item = operators::finish(*draft, current->offset);
+    const auto item = operators::complete_draft(*draft, current->offset);
     const auto after = inventory::check_record(*current, item);
     if (!after) {
         return tl::unexpected(after.error());
@@ -137,19 +137,19 @@
     }
     common::result<std::vector<inventory::change>> changes;
     if (verb == "start") {
-        changes = operators::start_rollout(
+        changes = operators::make_rollout_changes(
             {id,
              common::model_id{given.model},
              common::version_id{given.from},
              common::version_id{given.to},
-             given.share.value_or(operators::first_share())});
+             given.share.value_or(operators::default_first_share())});
     }
     else {
-        const auto steer = operators::parse_rollout_verb(verb);
+        const auto steer = operators::parse_rollout_action(verb);
         if (!steer) {
             return tl::unexpected(steer.error());
         }
-        changes = operators::steer_rollout(*current, id, *steer);
+        changes = operators::change_rollout_status(*current, id, *steer);
     }
     if (!changes) {
         return tl::unexpected(changes.error());
--- a/source/ctl/main.cpp
+++ b/source/ctl/main.cpp
@@ -7,7 +7,7 @@
 #include "daemon/logging.hpp"
 #include "daemon/secret.hpp"
 #include "operators/answers.hpp"
-#include "operators/watch.hpp"
+#include "operators/revision_watch.hpp"
 #include "options.hpp"
 
 /// The operators' program. Exit codes are on docs/RESULT_CODES.md.
@@ -34,7 +34,7 @@
     case command_kind::explain:
         return given.logs.empty();
     case command_kind::watch:
-        return given.words.front() == operators::newest_revision;
+        return given.words.front() == operators::latest_revision_keyword;
     case command_kind::check:
         return !given.entries.empty() || given.hosts;
     default:
@@ -77,13 +77,13 @@
     return common::failure(common::result_code::internal_error);
 }
 
-auto tell_error(const ctl::options& given, const common::error& why) -> void
+auto tell_error(const ctl::options& given, const common::error& error) -> void
 {
     if (given.as_json) {
-        std::cout << operators::error_json(why) << "\n";
+        std::cout << operators::error_json(error) << "\n";
         return;
     }
-    std::cerr << "reedramp-ctl: " << operators::error_text(why);
+    std::cerr << "reedramp-ctl: " << operators::error_text(error);
 }
 
 } // namespace
@@ -102,7 +102,7 @@
         auto secret = daemon::read_secret(given.key_file, operator_key_variable);
         if (!secret) {
             std::cerr << "reedramp-ctl: operator's key: " << secret.error().detail << "\n";
-            return operators::bad_command_line;
+            return operators::usage_error_exit_code;
         }
         key = std::move(*secret);
     }
--- a/source/ctl/options.cpp
+++ b/source/ctl/options.cpp
@@ -9,7 +9,7 @@
 
 #include "operators/answers.hpp"
 #include "operators/drafts.hpp"
-#include "operators/watch.hpp"
+#include "operators/revision_watch.hpp"
 
 namespace reedramp::ctl {
 
@@ -122,24 +122,24 @@
         &form.out,
         &form.publish,
         &form.column};
-    std::vector<std::string> made;
+    std::vector<std::string> result;
     for (const auto* item : all) {
         if (item->isSet()) {
-            made.push_back(item->getName());
+            result.push_back(item->getName());
         }
     }
-    return made;
+    return result;
 }
 
 auto split(const std::string& text, char separator) -> std::vector<std::string>
 {
-    std::vector<std::string> made;
+    std::vector<std::string> result;
     std::istringstream from(text);
     std::string word;
     while (std::getline(from, word, separator)) {
-        made.push_back(word);
+        result.push_back(word);
     }
-    return made;
+    return result;
 }
 
 auto read_endpoints(const arguments_form& form, const environment& around, options& into)
@@ -223,11 +223,12 @@
     if (read.command.kind == kind::watch) {
         const auto& word = read.words.front();
         const auto revision = operators::parse_revision(word);
-        return word == operators::newest_revision || revision ? "" : revision.error().detail;
+        return word == operators::latest_revision_keyword || revision ? ""
+                                                                      : revision.error().detail;
     }
     if (read.command.kind == kind::rollout) {
         const auto starts = read.words.front() == "start";
-        const auto verb = operators::parse_rollout_verb(read.words.front());
+        const auto verb = operators::parse_rollout_action(read.words.front());
         if (!starts && !verb) {
             return verb.error().detail;
         }
@@ -251,28 +252,28 @@
     if (!command) {
         return tl::unexpected(command.error());
     }
-    options made;
-    made.command = *command;
-    made.words.assign(words.begin() + 1, words.end());
-    made.key_file = form.key_file.getValue();
-    made.as_json = form.json.getValue();
-    made.author = form.author.getValue();
-    made.model = form.model.getValue();
-    made.from = form.from.getValue();
-    made.to = form.to.getValue();
-    made.logs = form.log.getValue();
-    made.out = form.out.getValue();
-    made.publish = form.publish.getValue();
+    options result;
+    result.command = *command;
+    result.words.assign(words.begin() + 1, words.end());
+    result.key_file = form.key_file.getValue();
+    result.as_json = form.json.getValue();
+    result.author = form.author.getValue();
+    result.model = form.model.getValue();
+    result.from = form.from.getValue();
+    result.to = form.to.getValue();
+    result.logs = form.log.getValue();
+    result.out = form.out.getValue();
+    result.publish = form.publish.getValue();
     for (const auto& problem :
-         {read_endpoints(form, around, made),
-          read_columns(form, made.columns),
-          read_numbers(form, made),
-          find_missing(made)}) {
+         {read_endpoints(form, around, result),
+          read_columns(form, result.columns),
+          read_numbers(form, result),
+          find_missing(result)}) {
         if (!problem.empty()) {
             return common::failure(common::result_code::malformed_request, problem);
         }
     }
-    return made;
+    return result;
 }
 
 } // namespace
@@ -294,7 +295,7 @@
     }
     catch (const TCLAP::ArgException& problem) {
         errors << "reedramp-ctl: " << problem.argId() << " " << problem.error() << "\n";
-        return operators::bad_command_line;
+        return operators::usage_error_exit_code;
     }
     catch (const TCLAP::ExitException& end) {
         return end.getExitStatus();
@@ -302,7 +303,7 @@
     auto read = take(form, around);
     if (!read) {
         errors << "reedramp-ctl: " << read.error().detail << "\n";
-        return operators::bad_command_line;
+        return operators::usage_error_exit_code;
     }
     return std::move(*read);
 }
--- a/source/ctl/process_commands.cpp
+++ b/source/ctl/process_commands.cpp
@@ -8,7 +8,7 @@
 #include "commands.hpp"
 #include "daemon/clock.hpp"
 #include "operators/requests.hpp"
-#include "operators/watch.hpp"
+#include "operators/revision_watch.hpp"
 
 namespace reedramp::ctl {
 
@@ -50,7 +50,7 @@
         failure(result_code::peer_unavailable, "no entry answers"));
     for (const auto& answer : by.ask_all(questions, true)) {
         if (answer) {
-            const auto offset = operators::status_offset(*answer);
+            const auto offset = operators::parse_status_offset(*answer);
             found = std::max(found.value_or(offset), offset);
         }
         else if (!found) {
@@ -63,15 +63,15 @@
 auto wanted_revision(caller& by, const options& given) -> common::result<common::log_offset>
 {
     const auto& word = given.words.front();
-    return word == operators::newest_revision ? newest_of_entries(by, given)
-                                              : operators::parse_revision(word);
+    return word == operators::latest_revision_keyword ? newest_of_entries(by, given)
+                                                      : operators::parse_revision(word);
 }
 
 /// Asks all processes that lack the revision, and shows progress when there is some.
-auto look(caller& by, operators::watch& progress, bool shows) -> void
+auto look(caller& by, operators::revision_watch& progress, bool shows) -> void
 {
-    const auto waiting = progress.waiting();
-    const auto before = progress.in_force();
+    const auto waiting = progress.pending_processes();
+    const auto before = progress.in_force_count();
     std::vector<addressed_request> questions;
     for (const auto& item : waiting) {
         const auto where = http::parse_endpoint(item.row.http);
@@ -80,9 +80,9 @@
     const auto answers = by.ask_all(questions, false);
     const auto now = daemon::boot_time();
     for (std::size_t index = 0; index < waiting.size(); ++index) {
-        progress.take_metrics(waiting[index].row.host, answers[index], now);
+        progress.apply_metrics(waiting[index].row.host, answers[index], now);
     }
-    if (shows && progress.in_force() != before) {
+    if (shows && progress.in_force_count() != before) {
         std::cerr << progress.progress_text() << std::endl;
     }
 }
@@ -124,11 +124,11 @@
     }
     const auto begin = daemon::boot_time();
     const auto end = begin + given.timeout;
-    operators::watch progress(*revision, begin);
+    operators::revision_watch progress(*revision, begin);
     while (true) {
         const auto rows = by.hosts(*given.hosts);
         if (rows) {
-            progress.take_hosts(*rows);
+            progress.update_hosts(*rows);
             look(by, progress, !given.as_json);
         }
         if (progress.complete()) {
--- a/source/ctl/read_commands.cpp
+++ b/source/ctl/read_commands.cpp
@@ -7,7 +7,7 @@
 #include "operators/answers.hpp"
 #include "operators/difference.hpp"
 #include "operators/drafts.hpp"
-#include "operators/request_story.hpp"
+#include "operators/request_trace.hpp"
 #include "operators/requests.hpp"
 #include "operators/views.hpp"
 
@@ -35,7 +35,7 @@
 
 /// The host list with what each process says of itself; nothing if there is no list.
 auto ask_hosts(caller& by, const options& given)
-    -> std::optional<std::vector<operators::host_report>>
+    -> std::optional<std::vector<operators::host_status>>
 {
     if (!given.hosts) {
         return std::nullopt;
@@ -50,11 +50,11 @@
         questions.push_back({where.value_or(http::endpoint{}), operators::health_request()});
     }
     const auto answers = by.answers_of(questions);
-    std::vector<operators::host_report> made;
+    std::vector<operators::host_status> result;
     for (std::size_t index = 0; index < answers.size(); ++index) {
-        made.push_back({rows->at(index), operators::health_word(answers[index])});
+        result.push_back({rows->at(index), operators::health_text(answers[index])});
     }
-    return made;
+    return result;
 }
 
 auto given_draft(const options& given) -> common::result<operators::draft>
@@ -69,7 +69,7 @@
 auto compare_with(const inventory::state& current, operators::draft item)
     -> common::result<std::vector<operators::entity_difference>>
 {
-    const auto record = operators::finish(std::move(item), current.offset);
+    const auto record = operators::complete_draft(std::move(item), current.offset);
     const auto after = inventory::check_record(current, record);
     if (!after) {
         return tl::unexpected(after.error());
@@ -94,7 +94,7 @@
     if (!body) {
         return tl::unexpected(body.error());
     }
-    return operators::read_state(*body);
+    return operators::parse_state(*body);
 }
 
 auto show(caller& by, const options& given) -> printed
@@ -105,7 +105,7 @@
     if (!body || (given.as_json && kind.empty())) {
         return body.map(line);
     }
-    const auto current = operators::read_state(*body);
+    const auto current = operators::parse_state(*body);
     if (!current) {
         return tl::unexpected(current.error());
     }
@@ -163,11 +163,11 @@
             return tl::unexpected(read.error());
         }
     }
-    const auto story = operators::tell_request(given.words.front(), lines);
-    if (!story) {
-        return tl::unexpected(story.error());
+    const auto trace = operators::build_request_trace(given.words.front(), lines);
+    if (!trace) {
+        return tl::unexpected(trace.error());
     }
-    return given.as_json ? line(operators::story_json(*story)) : operators::story_text(*story);
+    return given.as_json ? line(operators::trace_json(*trace)) : operators::trace_text(*trace);
 }
 
 } // namespace
@@ -214,7 +214,7 @@
         questions.push_back({where, operators::read_request("status")});
     }
     auto answers = by.ask_all(questions, true);
-    operators::system_report report;
+    operators::system_status report;
     const common::error* refused = nullptr;
     auto has_answer = false;
     for (std::size_t index = 0; index < answers.size(); ++index) {
--- a/source/unit_tests/operators/answers_test.cpp
+++ b/source/unit_tests/operators/answers_test.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("An answer that is not good gives its result code and the exit code of its group")
+TEST_CASE("A failed answer gives its result code and the exit code of the code's group")
 {
     struct row {
         const char* name;
@@ -62,7 +62,7 @@
          execution::unknown,
          6,
          true},
-        {"an error that knows better than the table",
+        {"an error whose execution differs from the table's",
          problem(503, R"({"name":"log_unavailable","execution":"unknown"})"),
          result_code::log_unavailable,
          execution::unknown,
@@ -80,14 +80,14 @@
          execution::not_run,
          6,
          true},
-        // The record may be in the log; the caller sees `unknown` and looks before it says no.
+        // The record may be in the log, so `unknown` has to be kept.
         {"connection lost while waiting",
          lost(execution::unknown),
          result_code::peer_unavailable,
          execution::unknown,
          6,
          true},
-        {"a proxy's page",
+        {"an error page of a proxy",
          problem(502, "<html>bad gateway</html>"),
          result_code::peer_unavailable,
          execution::not_run,
@@ -102,18 +102,18 @@
     };
     for (const auto& row : rows) {
         INFO(row.name);
-        const auto body = body_of(row.answer);
+        const auto body = response_body(row.answer);
         REQUIRE_FALSE(body);
         CHECK(body.error().code == row.code);
         CHECK(body.error().run == row.run);
         CHECK(exit_code_of(body.error().code) == row.exit_code);
-        CHECK(may_ask_next(body.error()) == row.ask_next);
+        CHECK(should_try_next_entry(body.error()) == row.ask_next);
     }
-    CHECK(body_of(http::response{200, {}, "text"}).value() == "text");
+    CHECK(response_body(http::response{200, {}, "text"}).value() == "text");
     CHECK(exit_code_of(result_code::ok) == 0);
 }
 
-TEST_CASE("A process's own word on its health goes before the list")
+TEST_CASE("The health of a process is read from its own answer")
 {
     const std::vector<std::pair<common::result<http::response>, std::string>> rows = {
         {problem(200, R"({"ready":true})"), "ready"},
@@ -123,33 +123,33 @@
         {lost(execution::unknown), "NO ANSWER"},
     };
     for (const auto& [answer, word] : rows) {
-        CHECK(health_word(answer) == word);
+        CHECK(health_text(answer) == word);
     }
 }
 
-TEST_CASE("A lost answer of a publication is found in the history by the record's id")
+TEST_CASE("The outcome of a publication is found in the history by the record's id")
 {
-    // An operator publishes "mine"; the connection breaks after the record has reached the log.
-    // The operator must see what became of it, not an error: a second record would be a second
-    // change, and a refused one must not be sent for ever.
+    // The connection is lost after a record has reached the log. The operator must see the outcome
+    // of the record instead of an error: another record would be a second change, and a refused
+    // record must not be retried forever.
     const auto history = std::string(R"({"offset":9,"records":[
         {"id":"first","offset":3,"result":"ok","why":""},
         {"id":"second","offset":4,"result":"conflict","why":"version v1 was changed by ann"}]})");
-    const auto first = find_published(history, common::record_id{"first"});
+    const auto first = find_record_outcome(history, common::record_id{"first"});
     REQUIRE(first);
     CHECK(first->value() == common::log_offset{3});
-    const auto second = find_published(history, common::record_id{"second"});
+    const auto second = find_record_outcome(history, common::record_id{"second"});
     REQUIRE(second);
     CHECK(second->error().code == result_code::conflict);
     CHECK_THAT(second->error().detail, Catch::Contains("by ann"));
-    CHECK_FALSE(find_published(history, common::record_id{"third"}));
-    CHECK_FALSE(find_published("not JSON", common::record_id{"first"}));
+    CHECK_FALSE(find_record_outcome(history, common::record_id{"third"}));
+    CHECK_FALSE(find_record_outcome("not JSON", common::record_id{"first"}));
 }
 
-TEST_CASE("An error tells people its name, number, detail, and what is not known")
+TEST_CASE("An error message contains name, number, detail, and whether the effect is unknown")
 {
     struct row {
-        common::error why;
+        common::error error;
         const char* part;
         bool unknown;
     };
@@ -159,18 +159,18 @@
         {common::make_error(result_code::append_unknown), "append_unknown (603)", true},
     };
     for (const auto& row : rows) {
-        const auto text = error_text(row.why);
-        CHECK_THAT(text, Catch::Contains(row.part) && Catch::Contains(row.why.detail));
+        const auto text = error_text(row.error);
+        CHECK_THAT(text, Catch::Contains(row.part) && Catch::Contains(row.error.detail));
         const auto says_unknown = text.find("not known") != std::string::npos;
         CHECK(says_unknown == row.unknown);
-        CHECK_THAT(error_json(row.why), Catch::Contains(row.why.detail));
+        CHECK_THAT(error_json(row.error), Catch::Contains(row.error.detail));
     }
 }
 
-TEST_CASE("Requests go to their resource, and the key only into its header")
+TEST_CASE("Requests address their resource, and the key is in its header only")
 {
     struct row {
-        http::request asked;
+        http::request request;
         const char* method;
         const char* target;
         const char* body;
@@ -186,7 +186,7 @@
         {metrics_request(), "GET", "/metrics", ""},
     };
     for (const auto& row : rows) {
-        const auto sent = with_key(row.asked, "the-secret");
+        const auto sent = with_key(row.request, "the-secret");
         CHECK(sent.method == row.method);
         CHECK(sent.target == row.target);
         CHECK(sent.body == row.body);
--- a/source/unit_tests/operators/commands_test.cpp
+++ b/source/unit_tests/operators/commands_test.cpp
@@ -22,12 +22,12 @@
 
 } // namespace
 
-TEST_CASE("A command line is taken whole or refused with what is wrong")
+TEST_CASE("A command line is accepted, or rejected with the reason")
 {
     struct row {
         words given;
         words options;
-        /// Empty if it is good.
+        /// Empty if the command line is valid.
         std::string problem;
     };
 
@@ -37,12 +37,12 @@
         {{"show"}, {}, ""},
         {{"show", "version", "v"}, {}, ""},
         {{"show", "version", "v", "w"}, {}, "usage: show"},
-        {{}, {}, "a command is needed"},
-        {{"publsh", "file"}, {}, "there is no command publsh"},
+        {{}, {}, "a command is required"},
+        {{"publsh", "file"}, {}, "unknown command publsh"},
         {{"publish"}, {}, "usage: publish"},
-        {{"publish", "--baes"}, {}, "there is no option --baes"},
-        {{"withdraw", "v"}, {"base"}, "withdraw takes no --base"},
-        {{"bills"}, {"out"}, "bills takes no --out"},
+        {{"publish", "--baes"}, {}, "unknown option --baes"},
+        {{"withdraw", "v"}, {"base"}, "withdraw does not accept --base"},
+        {{"bills"}, {"out"}, "bills does not accept --out"},
     };
     for (const auto& row : rows) {
         const auto found = find_command(row.given, row.options);
@@ -54,7 +54,7 @@
     }
 }
 
-TEST_CASE("The completion file names each command and option")
+TEST_CASE("The completion file lists each command and option")
 {
     const auto text = completion_file();
     REQUIRE_FALSE(text.empty());
--- a/source/unit_tests/operators/drafts_test.cpp
+++ b/source/unit_tests/operators/drafts_test.cpp
@@ -21,10 +21,10 @@
 {
     const auto read = read_draft(text, defaults);
     REQUIRE(read);
-    return finish(*read, log_offset{seen});
+    return complete_draft(*read, log_offset{seen});
 }
 
-/// A state with versions v1 and v2 of model m, and an open roll-out r between them.
+/// State with versions v1 and v2 of model m, and a running roll-out r from v1 to v2.
 auto state_with_rollout() -> inventory::state
 {
     const auto text = R"({"base":0,"changes":[{"put":"model","value":{"id":"m"}},
@@ -38,11 +38,11 @@
 
 } // namespace
 
-TEST_CASE("A record file without id is one change however often it is published")
+TEST_CASE("A record file without an id is one change even if it is published repeatedly")
 {
-    // An operator publishes a file, the connection is lost, and the operator publishes it again,
-    // with another author's name and at another time. Both copies carry the same id, so the fold
-    // takes the second for a repeat. Another base or other changes are another record.
+    // An operator publishes a file again after the connection was lost, under another author name
+    // and at a later time. Both copies must have the same id, so that the second is treated as a
+    // duplicate. A different base or different changes give a different record.
     struct row {
         const char* name;
         std::string text;
@@ -68,7 +68,7 @@
     }
 }
 
-TEST_CASE("What a record file names is kept, but for a base on the command line")
+TEST_CASE("Members of a record file are kept, except for a base given on the command line")
 {
     const auto text = R"({"id":"mine","author":"ann","at":5,"base":3,)" + put_model + "}";
     const auto kept = finished(text, {"bob", common::wall_time_ms{9}, {}}, 8);
@@ -79,7 +79,7 @@
     CHECK(finished(text, {"bob", {}, log_offset{6}}, 8).base == log_offset{6});
 }
 
-TEST_CASE("A record file that cannot be used names what is wrong")
+TEST_CASE("The error of an invalid record file names the invalid member")
 {
     struct row {
         const char* text;
@@ -102,13 +102,13 @@
     }
 }
 
-TEST_CASE("A roll-out starts at the controllers' step of its share")
+TEST_CASE("A roll-out starts at the step that corresponds to its share")
 {
     const std::vector<std::pair<std::uint32_t, std::uint32_t>> rows = {
         {0, 0}, {10, 0}, {49, 0}, {50, 1}, {500, 3}, {1000, 4}};
     for (const auto& [share, step] : rows) {
         INFO(share);
-        const auto changes = start_rollout(
+        const auto changes = make_rollout_changes(
             {"r",
              common::model_id{"m"},
              common::version_id{"v1"},
@@ -120,31 +120,31 @@
         CHECK(item.share == common::permille{share});
         CHECK(item.status == inventory::rollout_status::running);
     }
-    CHECK(first_share() == control::default_steps().front().share);
+    CHECK(default_first_share() == control::default_steps().front().share);
 }
 
-TEST_CASE("A roll-out is steered from the status it has")
+TEST_CASE("A roll-out is paused, resumed and aborted from its current status")
 {
     using inventory::rollout_status;
 
     struct row {
         rollout_status from;
-        rollout_verb verb;
+        rollout_action verb;
         std::size_t changes;
         rollout_status to;
     };
 
     const std::vector<row> rows = {
-        {rollout_status::running, rollout_verb::pause, 1, rollout_status::paused},
-        {rollout_status::paused, rollout_verb::pause, 0, rollout_status::paused},
-        {rollout_status::paused, rollout_verb::resume, 1, rollout_status::running},
-        {rollout_status::running, rollout_verb::abort, 1, rollout_status::aborted},
-        {rollout_status::paused, rollout_verb::abort, 1, rollout_status::aborted},
+        {rollout_status::running, rollout_action::pause, 1, rollout_status::paused},
+        {rollout_status::paused, rollout_action::pause, 0, rollout_status::paused},
+        {rollout_status::paused, rollout_action::resume, 1, rollout_status::running},
+        {rollout_status::running, rollout_action::abort, 1, rollout_status::aborted},
+        {rollout_status::paused, rollout_action::abort, 1, rollout_status::aborted},
     };
     for (const auto& row : rows) {
         auto current = state_with_rollout();
         current.rollouts.at("r").status = row.from;
-        const auto changes = steer_rollout(current, "r", row.verb);
+        const auto changes = change_rollout_status(current, "r", row.verb);
         REQUIRE(changes);
         REQUIRE(changes->size() == row.changes);
         if (changes->empty()) {
@@ -156,12 +156,13 @@
         CHECK(item.share == common::permille{200});
         CHECK(item.step == 2);
     }
-    const auto unknown = steer_rollout(state_with_rollout(), "other", rollout_verb::pause);
+    const auto unknown =
+        change_rollout_status(state_with_rollout(), "other", rollout_action::pause);
     REQUIRE_FALSE(unknown);
     CHECK(unknown.error().code == result_code::not_found);
 }
 
-TEST_CASE("A difference shows what an operator wrote, and nothing for what holds already")
+TEST_CASE("A difference shows the members that change, and nothing for repeated values")
 {
     const auto before = state_with_rollout();
 
--- a/source/unit_tests/operators/publishing_test.cpp
+++ b/source/unit_tests/operators/publish_test.cpp
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "operators/publishing.hpp"
+#include "operators/publish.hpp"
 
 using namespace reedramp;
 using common::execution;
@@ -11,32 +11,33 @@
 
 namespace {
 
-/// What an entry does with a publication.
+/// Fault of an entry that receives a publication.
 enum class entry_fault {
     none,
-    /// Nobody listens.
+    /// Connections are refused.
     gone,
-    /// Takes the record into the log, and is gone before it answers.
+    /// Appends the record to the log, and the connection is lost before the answer.
     lost_answer,
-    /// Is gone before the record reaches the log, which the operator cannot tell from the above.
+    /// The connection is lost before the record reaches the log. The operator cannot distinguish
+    /// this from `lost_answer`.
     lost_request,
     log_down,
     refuses,
 };
 
-/// Entries over one log that holds at most one record of each id.
+/// Entries with a common log, which receives one record only.
 struct fake_entries {
     std::vector<entry_fault> faults;
     std::size_t copies = 0;
     std::size_t pauses = 0;
 
-    auto ask(std::size_t entry, const http::request& asked) -> common::result<std::string>
+    auto answer(std::size_t entry, const http::request& request) -> common::result<std::string>
     {
         const auto fault = this->faults.at(entry);
         if (fault == entry_fault::gone) {
             return fail(result_code::peer_unavailable, execution::not_run);
         }
-        return asked.method == "GET" ? this->history(fault) : this->take(fault);
+        return request.method == "GET" ? this->history(fault) : this->publish(fault);
     }
 
     [[nodiscard]] auto history(entry_fault fault) const -> common::result<std::string>
@@ -48,7 +49,7 @@
         return std::string(R"({"records":[)") + rows + "]}";
     }
 
-    auto take(entry_fault fault) -> common::result<std::string>
+    auto publish(entry_fault fault) -> common::result<std::string>
     {
         switch (fault) {
         case entry_fault::lost_request:
@@ -74,12 +75,12 @@
 
 } // namespace
 
-TEST_CASE("A publication is one change whichever entries fail on the way")
+TEST_CASE("A publication is one change whichever entries fail")
 {
-    // Each row: the operator publishes record "mine"; the entries do what the row says. The
-    // operator sees the record accepted, refused, or not published; "unknown" only where a copy may
-    // be in the log and nobody can tell. A second copy in the log would be harmless by its id, but
-    // is only sent where the history does not show the first.
+    // Each row publishes record "mine" through entries with the given faults. The result must be
+    // that the record is accepted, refused or not published, and `append_unknown` only if a copy
+    // may be in the log and no entry can tell. A second copy would have no effect because it has
+    // the same id, but is sent only if the history does not list the first.
     struct row {
         const char* name;
         std::vector<entry_fault> faults;
@@ -89,9 +90,13 @@
     };
     using enum entry_fault;
     const std::vector<row> rows = {
-        {"all well", {none, none}, result_code::ok, 1, 0},
+        {"no faults", {none, none}, result_code::ok, 1, 0},
         {"first gone", {gone, none}, result_code::ok, 1, 0},
-        {"answer lost, the next one knows", {lost_answer, none}, result_code::ok, 1, 0},
+        {"answer lost, the next one has it in its history",
+         {lost_answer, none},
+         result_code::ok,
+         1,
+         0},
         {"request lost, the next one sends it", {lost_request, none}, result_code::ok, 1, 0},
         {"answer lost, the next one gone", {lost_answer, gone, none}, result_code::ok, 1, 0},
         {"answer lost, log then down", {lost_answer, log_down}, result_code::ok, 1, 0},
@@ -109,10 +114,10 @@
     for (const auto& row : rows) {
         INFO(row.name);
         fake_entries entries{row.faults};
-        const operators::publishing by{
+        const operators::publish_transport by{
             row.faults.size(),
-            [&](std::size_t entry, const http::request& asked) {
-                return entries.ask(entry, asked);
+            [&](std::size_t entry, const http::request& request) {
+                return entries.answer(entry, request);
             },
             [&] {
                 ++entries.pauses;
--- a/source/unit_tests/operators/request_story_test.cpp
+++ b/source/unit_tests/operators/request_trace_test.cpp
@@ -1,4 +1,4 @@
-#include "operators/request_story.hpp"
+#include "operators/request_trace.hpp"
 
 #include <boost/json.hpp>
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Lines of one request "r1" between those of others; each log as one entry wrote it.
+/// Parses lines as entries write them to their logs.
 auto logs_of(const std::vector<std::string>& texts) -> std::vector<log_line>
 {
     std::vector<log_line> lines;
@@ -19,17 +19,17 @@
     return lines;
 }
 
-struct story_row {
+struct trace_row {
     const char* what;
     std::vector<std::string> lines;
     std::string end;
-    /// In the cause.
-    std::string because;
+    /// Text that the cause must contain.
+    std::string cause_part;
 };
 
 } // namespace
 
-TEST_CASE("a log line is taken apart", "[request_story]")
+TEST_CASE("a log line is parsed into its parts", "[request_story]")
 {
     const auto line = parse_log_line(
         "I 1700000000.250 place: attempt lost request=r1 server=i-7 run=unknown detail=read: "
@@ -37,8 +37,8 @@
     REQUIRE(line);
     CHECK(line->level == 'I');
     CHECK(line->time == 1700000000.250);
-    CHECK(line->part == "place");
-    CHECK(line->what == "attempt lost");
+    CHECK(line->component == "place");
+    CHECK(line->message == "attempt lost");
     CHECK(line->field("server") == "i-7");
     CHECK(line->field("detail") == "read: Connection reset by peer");
     CHECK(line->field("none").empty());
@@ -49,12 +49,11 @@
     }
 }
 
-TEST_CASE("the end of a request and its cause are told from the lines", "[request_story]")
+TEST_CASE("the end of a request and its cause are derived from its lines", "[request_story]")
 {
-    // An operator has a caller's request id, and the logs of all entries.
     const std::string sent =
         "I 10.000 place: sent request=r1 route=drafts server=a version=v1 send=1";
-    const std::vector<story_row> rows{
+    const std::vector<trace_row> rows{
         {"served",
          {sent, "I 11.000 entry: ended request=r1 how=served sends=1 ms=1000"},
          "served",
@@ -76,7 +75,7 @@
           "W 11.900 place: answer not trusted request=r1 server=b status=200",
           "I 11.900 entry: ended request=r1 how=stream_broken sends=2 ms=1900"},
          "stream_broken",
-         "server b answered something that is not its own"},
+         "server b sent an answer that failed verification"},
         {"full",
          {sent,
           "I 10.100 place: server refused request=r1 server=a status=503",
@@ -86,27 +85,29 @@
         {"caller left",
          {sent, "I 10.100 entry: ended request=r1 how=caller_left sends=1 ms=100"},
          "caller_left",
-         "its caller"},
-        {"entry killed", {sent}, "unknown", "its entry ended"},
+         "the caller"},
+        {"entry killed", {sent}, "unknown", "the entry stopped before the request ended"},
     };
     for (const auto& row : rows) {
         INFO(row.what);
         auto lines = logs_of(row.lines);
         lines.push_back(*parse_log_line("I 10.000 entry: ended request=r2 how=served sends=1"));
-        const auto story = tell_request("r1", lines);
-        REQUIRE(story);
-        CHECK(story->lines.size() == row.lines.size());
-        CHECK(story->end == row.end);
-        INFO(story->cause);
-        CHECK(story->cause.find(row.because) != std::string::npos);
+        const auto trace = build_request_trace("r1", lines);
+        REQUIRE(trace);
+        CHECK(trace->lines.size() == row.lines.size());
+        CHECK(trace->end == row.end);
+        INFO(trace->cause);
+        CHECK(trace->cause.find(row.cause_part) != std::string::npos);
     }
-    CHECK(tell_request("r9", logs_of({sent})).error().code == common::result_code::not_found);
+    CHECK(
+        build_request_trace("r9", logs_of({sent})).error().code == common::result_code::not_found);
 }
 
-TEST_CASE("the story of a request that ends servers tells of its copies", "[request_story]")
+TEST_CASE(
+    "the trace of a request that crashes servers includes its other attempts", "[request_story]")
 {
-    // The caller holds the id of its last attempt, which was refused at once. What it is refused
-    // for stands in lines of other entries, about other attempts.
+    // The caller has the id of its last attempt only, which was refused immediately. The reason is
+    // in log lines of other entries about attempts with other ids and the same fingerprint.
     const auto lines = logs_of(
         {"I 10.000 place: attempt lost request=r1 print=00ab server=a after_ms=60 detail=reset",
          "I 11.000 place: attempt lost request=r2 print=00ab server=b after_ms=50 detail=reset",
@@ -114,28 +115,30 @@
          "W 12.500 place: request barred print=00ab crashes=3 others=0",
          "W 12.510 place: request barred print=00cd told_by=h",
          "I 13.000 entry: refused request=r3 why=ends_servers print=00ab"});
-    const auto story = tell_request("r3", lines);
-    REQUIRE(story);
-    CHECK(story->end == "ends_servers");
-    INFO(story->cause);
-    CHECK(story->cause.find("copies of it were lost with servers a, b") != std::string::npos);
-    CHECK(story->lines.size() == 4);
+    const auto trace = build_request_trace("r3", lines);
+    REQUIRE(trace);
+    CHECK(trace->end == "ends_servers");
+    INFO(trace->cause);
+    CHECK(
+        trace->cause.find("attempts with the same fingerprint were lost at servers a, b") !=
+        std::string::npos);
+    CHECK(trace->lines.size() == 4);
 }
 
-TEST_CASE("lines of several entries are put in order by their time", "[request_story]")
+TEST_CASE("lines of several entries are ordered by time", "[request_story]")
 {
-    // A caller's entry was killed, and the request went on at another one.
+    // The entry of the request was killed, and another entry continued the request.
     const auto lines = logs_of(
         {"I 14.000 entry: ended request=r1 how=served sends=1 ms=900",
          "I 13.100 place: sent request=r1 server=b version=v1 send=1 after_event=7",
          "I 10.000 place: sent request=r1 server=a version=v1 send=1 after_event=-1"});
-    const auto story = tell_request("r1", lines);
-    REQUIRE(story);
-    CHECK(story->lines.front().field("server") == "a");
-    CHECK(story->cause.find("server b") != std::string::npos);
-    const auto text = story_text(*story);
+    const auto trace = build_request_trace("r1", lines);
+    REQUIRE(trace);
+    CHECK(trace->lines.front().field("server") == "a");
+    CHECK(trace->cause.find("server b") != std::string::npos);
+    const auto text = trace_text(*trace);
     CHECK(text.find("10.000") < text.find("13.100"));
-    const auto parsed = boost::json::parse(story_json(*story));
+    const auto parsed = boost::json::parse(trace_json(*trace));
     CHECK(parsed.at("end").as_string() == "served");
     CHECK(parsed.at("lines").as_array().size() == 3);
 }
--- a/source/unit_tests/operators/watch_test.cpp
+++ b/source/unit_tests/operators/revision_watch_test.cpp
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "operators/watch.hpp"
+#include "operators/revision_watch.hpp"
 
 using namespace reedramp;
 using namespace reedramp::operators;
@@ -38,7 +38,7 @@
            std::to_string(offset) + "\n";
 }
 
-auto silent() -> common::result<std::string>
+auto failed_query() -> common::result<std::string>
 {
     return common::failure(result_code::peer_unavailable, "no answer");
 }
@@ -63,14 +63,14 @@
     };
     for (const auto& row : rows) {
         INFO(row.text);
-        const auto read = configuration_offset(row.text);
+        const auto read = parse_configuration_offset(row.text);
         CHECK(read.has_value() == row.offset.has_value());
         if (read && row.offset) {
             CHECK(read->value() == *row.offset);
         }
     }
-    CHECK(status_offset(R"({"offset":12})") == log_offset{12});
-    CHECK(status_offset("<html>") == log_offset{0});
+    CHECK(parse_status_offset(R"({"offset":12})") == log_offset{12});
+    CHECK(parse_status_offset("<html>") == log_offset{0});
 }
 
 TEST_CASE("A revision is a whole number")
@@ -82,20 +82,21 @@
     }
 }
 
-TEST_CASE("A watch is over when all live processes have the revision, and names the slowest")
+TEST_CASE(
+    "A watch is complete when all live processes have the revision, and lists the slowest first")
 {
-    watch progress(log_offset{5}, begin);
+    revision_watch progress(log_offset{5}, begin);
     CHECK_FALSE(progress.complete());
-    progress.take_hosts({host("entry-1", host_role::entry), host("host-a", host_role::server)});
-    progress.take_metrics(host_id{"entry-1"}, metrics(5), begin + 20ms);
-    progress.take_metrics(host_id{"host-a"}, metrics(4), begin + 20ms);
-    CHECK(progress.waiting().size() == 1);
+    progress.update_hosts({host("entry-1", host_role::entry), host("host-a", host_role::server)});
+    progress.apply_metrics(host_id{"entry-1"}, metrics(5), begin + 20ms);
+    progress.apply_metrics(host_id{"host-a"}, metrics(4), begin + 20ms);
+    CHECK(progress.pending_processes().size() == 1);
     CHECK_FALSE(progress.complete());
     CHECK(progress.outcome().error().code == result_code::stale_configuration);
     CHECK_THAT(progress.outcome().error().detail, Catch::Contains("host-a"));
-    progress.take_metrics(host_id{"host-a"}, metrics(6), begin + 70ms);
-    // Later answers do not move the time.
-    progress.take_metrics(host_id{"entry-1"}, metrics(7), begin + 90ms);
+    progress.apply_metrics(host_id{"host-a"}, metrics(6), begin + 70ms);
+    // Later answers do not change the time.
+    progress.apply_metrics(host_id{"entry-1"}, metrics(7), begin + 90ms);
     CHECK(progress.complete());
     CHECK(progress.outcome().has_value());
     const auto text = progress.text();
@@ -104,16 +105,16 @@
     CHECK_THAT(progress.json(), Catch::Contains(R"("complete":true)"));
 }
 
-TEST_CASE("A watch follows the list of hosts while they come and go")
+TEST_CASE("A watch follows changes of the host list")
 {
-    // A host is replaced while the operator watches: its old process never answers again, the new
-    // one starts without a configuration. The watch must wait for the new one, and neither for the
-    // old nor for one that has left.
+    // A host is replaced during the watch: its old process never answers again, and the new one
+    // starts without a configuration. The watch must wait for the new process only, not for the old
+    // one or for hosts that left the list.
     struct row {
         const char* name;
         std::vector<platform::host_entry> next;
         std::size_t size;
-        std::size_t in_force;
+        std::size_t in_force_count;
         result_code outcome;
     };
 
@@ -122,7 +123,7 @@
     const auto entry = host("entry-1", host_role::entry);
     const auto agent = host("host-a", host_role::server);
     const std::vector<row> rows = {
-        {"still silent", {entry, agent}, 2, 1, result_code::peer_unavailable},
+        {"still not answering", {entry, agent}, 2, 1, result_code::peer_unavailable},
         {"gone", {entry}, 1, 1, result_code::ok},
         {"leaving", {entry, leaving}, 1, 1, result_code::ok},
         {"the other was replaced",
@@ -134,26 +135,26 @@
     };
     for (const auto& row : rows) {
         INFO(row.name);
-        watch progress(log_offset{5}, begin);
-        progress.take_hosts({entry, agent});
-        progress.take_metrics(host_id{"entry-1"}, metrics(5), begin);
-        progress.take_metrics(host_id{"host-a"}, silent(), begin);
-        progress.take_hosts(row.next);
+        revision_watch progress(log_offset{5}, begin);
+        progress.update_hosts({entry, agent});
+        progress.apply_metrics(host_id{"entry-1"}, metrics(5), begin);
+        progress.apply_metrics(host_id{"host-a"}, failed_query(), begin);
+        progress.update_hosts(row.next);
         CHECK(progress.size() == row.size);
-        CHECK(progress.in_force() == row.in_force);
+        CHECK(progress.in_force_count() == row.in_force_count);
         const auto outcome = progress.outcome();
         CHECK((outcome ? result_code::ok : outcome.error().code) == row.outcome);
     }
 }
 
-TEST_CASE("A watch on many late processes names a few")
+TEST_CASE("The error of a watch with many pending processes lists a few of them")
 {
-    watch progress(log_offset{5}, begin);
+    revision_watch progress(log_offset{5}, begin);
     std::vector<platform::host_entry> rows;
     for (int index = 0; index < 12; ++index) {
         rows.push_back(host("h" + std::to_string(index), host_role::server));
     }
-    progress.take_hosts(rows);
+    progress.update_hosts(rows);
     const auto detail = progress.outcome().error().detail;
     CHECK_THAT(detail, Catch::Contains("h0, ") && Catch::EndsWith(", and 2 more"));
 }
--- a/source/unit_tests/operators/views_test.cpp
+++ b/source/unit_tests/operators/views_test.cpp
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 
 #include "inventory/record.hpp"
-#include "operators/table.hpp"
+#include "operators/text_table.hpp"
 #include "operators/views.hpp"
 
 using namespace reedramp;
@@ -40,9 +40,9 @@
     "in_flight":0,"answered":10,"retries":0,"refusals":{"queue_full":3},"versions":{"tag-2":10},
     "withdrawn":["tag-3"]})";
 
-auto sample_report() -> system_report
+auto sample_status() -> system_status
 {
-    system_report made;
+    system_status made;
     made.entries = {
         {"127.0.0.1:1", std::string(entry_one)},
         {"127.0.0.1:2", std::string(entry_two)},
@@ -61,7 +61,7 @@
     return made;
 }
 
-/// The cells of the line that starts with `first`, gaps as one blank.
+/// The line that starts with `first`, with runs of spaces replaced by one.
 auto line_of(const std::string& text, const std::string& first) -> std::string
 {
     const auto begin = ("\n" + text).find("\n" + first);
@@ -79,7 +79,7 @@
 
 } // namespace
 
-TEST_CASE("A table has columns as wide as their cells, numbers to the right")
+TEST_CASE("A table has columns as wide as their cells, and numbers are right-aligned")
 {
     text_table table({"name", "count"});
     CHECK(table.text().empty());
@@ -100,7 +100,7 @@
     CHECK(money_text(-1500000) == "-1.500000");
 }
 
-TEST_CASE("The configuration is shown whole, by kind, or one entity")
+TEST_CASE("The configuration is shown as a whole, by kind, or by entity")
 {
     const auto current = sample_state();
 
@@ -131,9 +131,9 @@
     CHECK(state_text(current, "model", "x").error().code == result_code::not_found);
 }
 
-TEST_CASE("The status sums all entries and names the one that does not answer")
+TEST_CASE("The status sums the counts of all entries and shows an entry that does not answer")
 {
-    const auto text = status_text(sample_report());
+    const auto text = status_text(sample_status());
     const std::vector<std::pair<std::string, std::string>> rows = {
         {"127.0.0.1:1", "127.0.0.1:1 entry-1 yes 7 900 ms 2 30 1"},
         {"127.0.0.1:2", "127.0.0.1:2 entry-2 yes 6 STALE 0 10 0"},
@@ -142,7 +142,7 @@
         {"engine-a", "engine-a host-a dc-1 home engine tag-1 tag-2 1"},
         {"tag-1", "tag-1 tag WITHDRAWN 10 25.0 %"},
         {"tag-2", "tag-2 tag rollout 30 75.0 %"},
-        // Withdrawn at one entry while the log is down.
+        // Withdrawn at one entry while the log is unavailable.
         {"tag-3", "tag-3 tag WITHDRAWN 0 0.0 %"},
         {"r ", "r tag tag-1 tag-2 12.5 % 0 running 1"},
         {"queue_full", "queue_full 5"},
@@ -153,14 +153,14 @@
     for (const auto& [first, line] : rows) {
         CHECK(line_of(text, first) == line);
     }
-    const auto as_json = status_json(sample_report());
+    const auto as_json = status_json(sample_status());
     for (const auto* part : {R"("peer_unavailable")", R"("says":"LEAVING")", R"("queue_full":3)"}) {
         CHECK_THAT(as_json, Catch::Contains(part));
     }
     CHECK_FALSE(status_text({{{"127.0.0.1:1", std::string("{}")}}, {}, {}, {}}).empty());
 }
 
-TEST_CASE("Answers of entries are shown as tables, and odd ones do no harm")
+TEST_CASE("Answers of entries are shown as tables, and malformed ones cause no error")
 {
     struct row {
         std::string text;
