--- a/source/ctl/change_commands.cpp
+++ b/source/ctl/change_commands.cpp
@@ -20,13 +20,13 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds round_pause{500};
+constexpr std::chrono::milliseconds retry_pause{500};
 constexpr auto standard_output = "-";
 
-auto accepted(const options& given, const common::record_id& id, common::log_offset offset)
+auto format_accepted(const options& opts, const common::record_id& id, common::log_offset offset)
     -> std::string
 {
-    if (given.as_json) {
+    if (opts.as_json) {
         return json::serialize(json::object{
                    {"accepted", true}, {"id", id.value()}, {"offset", offset.value()}}) +
                "\n";
@@ -35,61 +35,62 @@
            "\n";
 }
 
-auto unchanged(const options& given, common::log_offset offset) -> std::string
+auto format_unchanged(const options& opts, common::log_offset offset) -> std::string
 {
-    if (given.as_json) {
+    if (opts.as_json) {
         return json::serialize(json::object{{"accepted", false}, {"offset", offset.value()}}) +
                "\n";
     }
-    return "nothing to change; revision " + std::to_string(offset.value()) + "\n";
+    return "no changes; revision " + std::to_string(offset.value()) + "\n";
 }
 
-auto publish_record(caller& by, const options& given, const inventory::record& item)
+auto publish_record(admin_client& client, const options& opts, const inventory::record& item)
     -> common::result<common::log_offset>
 {
-    const auto entries = entries_of(by, given);
+    const auto entries = resolve_entries(client, opts);
     if (!entries) {
         return tl::unexpected(entries.error());
     }
-    const operators::publish_transport way{
+    const operators::publish_transport transport{
         entries->size(),
         [&](std::size_t entry, http::request request) {
-            return by.ask(entries->at(entry), std::move(request));
+            return client.send(entries->at(entry), std::move(request));
         },
         [] {
-            std::this_thread::sleep_for(round_pause);
+            std::this_thread::sleep_for(retry_pause);
         }};
-    return operators::publish(way, item);
+    return operators::publish(transport, item);
 }
 
-auto publish_and_tell(caller& by, const options& given, const inventory::record& item) -> printed
+auto publish_and_format(admin_client& client, const options& opts, const inventory::record& item)
+    -> command_output
 {
-    return publish_record(by, given, item).map([&](common::log_offset offset) {
-        return accepted(given, item.id, offset);
+    return publish_record(client, opts, item).map([&](common::log_offset offset) {
+        return format_accepted(opts, item.id, offset);
     });
 }
 
-auto defaults_of(const options& given) -> operators::draft_defaults
+auto make_draft_defaults(const options& opts) -> operators::draft_defaults
 {
-    return {given.author, daemon::wall_time(), given.base};
+    return {opts.author, daemon::wall_time(), opts.base};
 }
 
 } // namespace
 
-auto publish(caller& by, const options& given) -> printed
+auto publish(admin_client& client, const options& opts) -> command_output
 {
-    const auto text = read_file(given.words.front());
+    const auto text = read_file(opts.arguments.front());
     if (!text) {
         return tl::unexpected(text.error());
     }
-    const auto draft = operators::read_draft(*text, defaults_of(given));
+    const auto draft = operators::read_draft(*text, make_draft_defaults(opts));
     if (!draft) {
         return tl::unexpected(draft.error());
     }
     if (draft->has_base) {
-        return publish_and_tell(by, given, operators::complete_draft(*draft, {}));
+        return publish_and_format(client, opts, operators::complete_draft(*draft, {}));
     }
-    const auto current = fetch_state(by, given);
+    const auto current = fetch_state(client, opts);
     if (!current) {
         return tl::unexpected(current.error());
     }
@@ -98,40 +99,41 @@
     if (!after) {
         return tl::unexpected(after.error());
     }
-    // Without a base each publication would be another record; one that says what holds already
-    // is none, so that a file published twice is one change here too.
+    // Without a base, the current revision becomes the base, and each publication of the file would
+    // have another id. A record that changes nothing is therefore not published, so that publishing
+    // a file twice makes one change in this case too.
     if (!draft->has_id && operators::differences(*current, *after).empty()) {
-        return unchanged(given, current->offset);
+        return format_unchanged(opts, current->offset);
     }
-    return publish_and_tell(by, given, item);
+    return publish_and_format(client, opts, item);
 }
 
-auto withdraw(caller& by, const options& given) -> printed
+auto withdraw(admin_client& client, const options& opts) -> command_output
 {
-    const auto entries = entries_of(by, given);
+    const auto entries = resolve_entries(client, opts);
     if (!entries) {
         return tl::unexpected(entries.error());
     }
-    const common::version_id version(given.words.front());
-    const auto current = fetch_state(by, given);
-    // A misspelt name would be withdrawn for ever without a word. An entry that cannot show its
-    // state must not delay a withdrawal.
+    const common::version_id version(opts.arguments.front());
+    const auto current = fetch_state(client, opts);
+    // A misspelt name would otherwise be withdrawn permanently without an error. If no entry
+    // returns its state, the withdrawal is sent without this check, as it must not be delayed.
     if (current && !current->versions.contains(version)) {
-        return failure(result_code::not_found, "there is no version " + version.value());
+        return failure(result_code::not_found, "unknown version " + version.value());
     }
-    // Withdrawing twice is withdrawing once, so a lost answer is met by asking the next entry.
-    const auto body = by.ask_any(*entries, operators::withdraw_request(version));
-    if (!body || given.as_json) {
+    // Withdrawals are idempotent, so the next entry can be tried if an answer is lost.
+    const auto body = client.send_to_any(*entries, operators::withdraw_request(version));
+    if (!body || opts.as_json) {
         return body.map([](const std::string& text) { return text + "\n"; });
     }
-    return "version " + version.value() + " is withdrawn at the entry and passed on\n";
+    return "version " + version.value() + " is withdrawn at one entry, which notifies the others\n";
 }
 
-auto rollout(caller& by, const options& given) -> printed
+auto rollout(admin_client& client, const options& opts) -> command_output
 {
-    const auto& verb = given.words.front();
-    const auto& id = given.words.back();
-    const auto current = fetch_state(by, given);
+    const auto& verb = opts.arguments.front();
+    const auto& id = opts.arguments.back();
+    const auto current = fetch_state(client, opts);
     if (!current) {
         return tl::unexpected(current.error());
     }
@@ -139,69 +141,69 @@
     if (verb == "start") {
         changes = operators::make_rollout_changes(
             {id,
-             common::model_id{given.model},
-             common::version_id{given.from},
-             common::version_id{given.to},
-             given.share.value_or(operators::default_first_share())});
+             common::model_id{opts.model},
+             common::version_id{opts.from},
+             common::version_id{opts.to},
+             opts.share.value_or(operators::default_first_share())});
     }
     else {
-        const auto steer = operators::parse_rollout_action(verb);
-        if (!steer) {
-            return tl::unexpected(steer.error());
+        const auto action = operators::parse_rollout_action(verb);
+        if (!action) {
+            return tl::unexpected(action.error());
         }
-        changes = operators::change_rollout_status(*current, id, *steer);
+        changes = operators::change_rollout_status(*current, id, *action);
     }
     if (!changes) {
         return tl::unexpected(changes.error());
     }
     if (changes->empty()) {
-        return unchanged(given, current->offset);
+        return format_unchanged(opts, current->offset);
     }
     const auto item =
-        operators::make_record(std::move(*changes), defaults_of(given), current->offset);
-    return publish_and_tell(by, given, item);
+        operators::make_record(std::move(*changes), make_draft_defaults(opts), current->offset);
+    return publish_and_format(client, opts, item);
 }
 
-auto import_register(caller& by, const options& given) -> printed
+auto import_register(admin_client& client, const options& opts) -> command_output
 {
-    const auto csv = read_file(given.words.front());
+    const auto csv = read_file(opts.arguments.front());
     if (!csv) {
         return tl::unexpected(csv.error());
     }
-    const auto current = fetch_state(by, given);
+    const auto current = fetch_state(client, opts);
     if (!current) {
         return tl::unexpected(current.error());
     }
-    auto read = inventory::import_register(*csv, given.columns, *current);
+    auto read = inventory::import_register(*csv, opts.columns, *current);
     if (!read) {
         return tl::unexpected(read.error());
     }
     if (read->changes.empty()) {
-        return unchanged(given, current->offset);
+        return format_unchanged(opts, current->offset);
     }
-    const auto item =
-        operators::make_record(std::move(read->changes), defaults_of(given), current->offset);
+    const auto item = operators::make_record(
+        std::move(read->changes), make_draft_defaults(opts), current->offset);
     const auto after = inventory::check_record(*current, item);
     if (!after) {
         return tl::unexpected(after.error());
     }
-    if (given.publish) {
-        return publish_and_tell(by, given, item);
+    if (opts.publish) {
+        return publish_and_format(client, opts, item);
     }
-    if (given.out == standard_output) {
+    if (opts.out == standard_output) {
         return inventory::format_record(item) + "\n";
     }
-    if (!given.out.empty()) {
-        std::ofstream file(given.out);
+    if (!opts.out.empty()) {
+        std::ofstream file(opts.out);
         file << inventory::format_record(item) << "\n";
         file.flush();
         if (!file) {
-            return failure(result_code::not_found, "cannot write file " + given.out);
+            return failure(result_code::not_found, "cannot write file " + opts.out);
         }
     }
     const auto rows = operators::differences(*current, *after);
-    return given.as_json ? operators::difference_json(rows) + "\n"
-                         : operators::difference_text(rows);
+    return opts.as_json ? operators::difference_json(rows) + "\n"
+                        : operators::difference_text(rows);
 }
 
 } // namespace reedramp::ctl
--- a/source/ctl/commands.hpp
+++ b/source/ctl/commands.hpp
@@ -3,38 +3,38 @@
 #include <optional>
 #include <string>
 
-#include "caller.hpp"
+#include "admin_client.hpp"
 #include "common/result.hpp"
 #include "options.hpp"
 
 namespace reedramp::ctl {
 
-/// What a command prints on standard output.
-using printed = common::result<std::string>;
+/// Text that a command prints on standard output.
+using command_output = common::result<std::string>;
 
-// Commands that read.
-auto show(caller& by, const options& given) -> printed;
-auto history(caller& by, const options& given) -> printed;
-auto bills(caller& by, const options& given) -> printed;
-auto explain(caller& by, const options& given) -> printed;
-auto status(caller& by, const options& given) -> printed;
-auto check(caller& by, const options& given) -> printed;
-auto diff(caller& by, const options& given) -> printed;
+// Commands that only read.
+auto show(admin_client& client, const options& opts) -> command_output;
+auto history(admin_client& client, const options& opts) -> command_output;
+auto bills(admin_client& client, const options& opts) -> command_output;
+auto explain(admin_client& client, const options& opts) -> command_output;
+auto status(admin_client& client, const options& opts) -> command_output;
+auto check(admin_client& client, const options& opts) -> command_output;
+auto diff(admin_client& client, const options& opts) -> command_output;
 
 // Commands that change the configuration.
-auto publish(caller& by, const options& given) -> printed;
-auto withdraw(caller& by, const options& given) -> printed;
-auto rollout(caller& by, const options& given) -> printed;
-auto import_register(caller& by, const options& given) -> printed;
+auto publish(admin_client& client, const options& opts) -> command_output;
+auto withdraw(admin_client& client, const options& opts) -> command_output;
+auto rollout(admin_client& client, const options& opts) -> command_output;
+auto import_register(admin_client& client, const options& opts) -> command_output;
 
-// Commands for processes.
-auto drain(caller& by, const options& given) -> printed;
-auto watch(caller& by, const options& given) -> printed;
+// Commands that address individual processes.
+auto drain(admin_client& client, const options& opts) -> command_output;
+auto watch(admin_client& client, const options& opts) -> command_output;
 
-/// The state in force, by the first entry that answers.
-auto fetch_state(caller& by, const options& given) -> common::result<inventory::state>;
+/// Fetches the configuration state from the first entry that answers.
+auto fetch_state(admin_client& client, const options& opts) -> common::result<inventory::state>;
 
-/// Errors: `not_found`.
+/// Errors: `not_found` if the file cannot be read.
 auto read_file(const std::string& path) -> common::result<std::string>;
 
 } // namespace reedramp::ctl
--- a/source/ctl/main.cpp
+++ b/source/ctl/main.cpp
@@ -10,7 +10,7 @@
 #include "operators/revision_watch.hpp"
 #include "options.hpp"
 
-/// The operators' program. Exit codes are on docs/RESULT_CODES.md.
+/// Command-line program for operators. docs/RESULT_CODES.md lists the exit codes.
 namespace {
 
 using namespace reedramp;
@@ -18,68 +18,68 @@
 
 constexpr auto operator_key_variable = "REEDRAMP_OPERATOR_KEY";
 
-auto variable(const char* name) -> std::string
+auto environment_variable(const char* name) -> std::string
 {
-    // Only at start, before there are threads that could change the environment.
+    // Called only at startup, before there are threads that could modify the environment.
     const auto* text = std::getenv(name); // NOLINT(concurrency-mt-unsafe)
     return text == nullptr ? "" : text;
 }
 
-/// Whether the command talks to a process that asks for the operator's key.
-auto needs_key(const ctl::options& given) -> bool
+/// Whether the command contacts a process that requires the operator's key.
+auto needs_key(const ctl::options& opts) -> bool
 {
-    switch (given.command.kind) {
+    switch (opts.command.kind) {
     case command_kind::result_codes:
         return false;
     case command_kind::explain:
-        return given.logs.empty();
+        return opts.logs.empty();
     case command_kind::watch:
-        return given.words.front() == operators::latest_revision_keyword;
+        return opts.arguments.front() == operators::latest_revision_keyword;
     case command_kind::check:
-        return !given.entries.empty() || given.hosts;
+        return !opts.entries.empty() || opts.hosts;
     default:
         return true;
     }
 }
 
-auto run(ctl::caller& by, const ctl::options& given) -> ctl::printed
+auto run(ctl::admin_client& client, const ctl::options& opts) -> ctl::command_output
 {
-    switch (given.command.kind) {
+    switch (opts.command.kind) {
     case command_kind::check:
-        return ctl::check(by, given);
+        return ctl::check(client, opts);
     case command_kind::publish:
-        return ctl::publish(by, given);
+        return ctl::publish(client, opts);
     case command_kind::show:
-        return ctl::show(by, given);
+        return ctl::show(client, opts);
     case command_kind::diff:
-        return ctl::diff(by, given);
+        return ctl::diff(client, opts);
     case command_kind::history:
-        return ctl::history(by, given);
+        return ctl::history(client, opts);
     case command_kind::withdraw:
-        return ctl::withdraw(by, given);
+        return ctl::withdraw(client, opts);
     case command_kind::rollout:
-        return ctl::rollout(by, given);
+        return ctl::rollout(client, opts);
     case command_kind::drain:
-        return ctl::drain(by, given);
+        return ctl::drain(client, opts);
     case command_kind::watch:
-        return ctl::watch(by, given);
+        return ctl::watch(client, opts);
     case command_kind::explain:
-        return ctl::explain(by, given);
+        return ctl::explain(client, opts);
     case command_kind::bills:
-        return ctl::bills(by, given);
+        return ctl::bills(client, opts);
     case command_kind::status:
-        return ctl::status(by, given);
+        return ctl::status(client, opts);
     case command_kind::import_register:
-        return ctl::import_register(by, given);
+        return ctl::import_register(client, opts);
     case command_kind::result_codes:
         return common::result_table_markdown();
     }
     return common::failure(common::result_code::internal_error);
 }
 
-auto tell_error(const ctl::options& given, const common::error& error) -> void
+auto print_error(const ctl::options& opts, const common::error& error) -> void
 {
-    if (given.as_json) {
+    if (opts.as_json) {
         std::cout << operators::error_json(error) << "\n";
         return;
     }
@@ -90,26 +90,28 @@
 
 auto main(int argument_count, char** arguments) -> int
 {
-    const ctl::environment around{variable("REEDRAMP_ENTRY"), variable("REEDRAMP_HOSTS")};
-    const auto read = ctl::read_options(argument_count, arguments, around, std::cout, std::cerr);
+    const ctl::environment_defaults defaults{
+        environment_variable("REEDRAMP_ENTRY"), environment_variable("REEDRAMP_HOSTS")};
+    const auto read = ctl::read_options(argument_count, arguments, defaults, std::cout, std::cerr);
     if (const auto* code = std::get_if<int>(&read)) {
         return *code;
     }
-    const auto& given = std::get<ctl::options>(read);
+    const auto& opts = std::get<ctl::options>(read);
     daemon::start_logging(arguments[0], common::log_level::warning);
     std::string key;
-    if (needs_key(given)) {
-        auto secret = daemon::read_secret(given.key_file, operator_key_variable);
+    if (needs_key(opts)) {
+        auto secret = daemon::read_secret(opts.key_file, operator_key_variable);
         if (!secret) {
-            std::cerr << "reedramp-ctl: operator's key: " << secret.error().detail << "\n";
+            std::cerr << "reedramp-ctl: cannot read the operator's key: " << secret.error().detail
+                      << "\n";
             return operators::usage_error_exit_code;
         }
         key = std::move(*secret);
     }
-    ctl::caller by(std::move(key));
-    const auto answer = run(by, given);
+    ctl::admin_client client(std::move(key));
+    const auto answer = run(client, opts);
     if (!answer) {
-        tell_error(given, answer.error());
+        print_error(opts, answer.error());
         return operators::exit_code_of(answer.error().code);
     }
     std::cout << *answer;
--- a/source/ctl/options.cpp
+++ b/source/ctl/options.cpp
@@ -22,22 +22,22 @@
 constexpr int default_timeout_s = 30;
 constexpr int default_limit = 20;
 
-/// TCLAP's form of all options.
-struct arguments_form {
-    // The parser goes first: the arguments add themselves to it.
+/// TCLAP parser with all options.
+struct argument_parser {
+    // Declared first: the arguments register themselves with it.
     TCLAP::CmdLine line{
-        "Drives reedramp: inventory, roll-outs, withdrawals, bills", ' ', program_version};
+        "Administers reedramp: inventory, roll-outs, withdrawals, billing", ' ', program_version};
     TCLAP::MultiArg<std::string> entry{
         "e",
         "entry",
-        "An entry; may be given several times; without it REEDRAMP_ENTRY",
+        "Address of an entry; may be repeated; default: REEDRAMP_ENTRY",
         false,
         "IP:PORT",
         line};
     TCLAP::ValueArg<std::string> hosts{
         "",
         "hosts",
-        "The platform's list of hosts; without it REEDRAMP_HOSTS",
+        "Address of the platform's host list; default: REEDRAMP_HOSTS",
         false,
         "",
         "IP:PORT",
@@ -45,28 +45,36 @@
     TCLAP::ValueArg<std::string> key_file{
         "k",
         "key-file",
-        "File of the operator's key; without it REEDRAMP_OPERATOR_KEY",
+        "File with the operator's key; default: REEDRAMP_OPERATOR_KEY",
         false,
         "",
         "FILE",
         line};
     TCLAP::SwitchArg json{"j", "json", "Print JSON", line};
     TCLAP::ValueArg<std::uint64_t> base{
-        "b", "base", "Revision that the change was decided on", false, no_base, "REV", line};
+        "b", "base", "Revision that the change is based on", false, no_base, "REV", line};
     TCLAP::ValueArg<std::string> author{
-        "a", "author", "Who publishes, for the history", false, "operator", "NAME", line};
+        "a",
+        "author",
+        "Author of the record, shown in the history",
+        false,
+        "operator",
+        "NAME",
+        line};
     TCLAP::ValueArg<int> timeout{
-        "t", "timeout", "Longest wait", false, default_timeout_s, "SECONDS", line};
-    TCLAP::ValueArg<int> limit{"n", "limit", "Records listed", false, default_limit, "N", line};
+        "t", "timeout", "Maximum wait", false, default_timeout_s, "SECONDS", line};
+    TCLAP::ValueArg<int> limit{
+        "n", "limit", "Number of records to list", false, default_limit, "N", line};
     TCLAP::ValueArg<std::string> model{"", "model", "Model", false, "", "MODEL", line};
-    TCLAP::ValueArg<std::string> from{"", "from", "Version in use", false, "", "VERSION", line};
+    TCLAP::ValueArg<std::string> from{
+        "", "from", "Version currently in use", false, "", "VERSION", line};
     TCLAP::ValueArg<std::string> to{"", "to", "New version", false, "", "VERSION", line};
     TCLAP::ValueArg<int> share{
-        "", "share", "Share of new sessions at the start", false, no_share, "PERMILLE", line};
+        "", "share", "Initial share of new sessions", false, no_share, "PERMILLE", line};
     TCLAP::MultiArg<std::string> log{
         "l",
         "log",
-        "A router's log, - for standard input; may be given several times",
+        "Log file of a router, - for standard input; may be repeated",
         false,
         "FILE",
         line};
@@ -74,9 +82,9 @@
         "o", "out", "Write the record to this file", false, "", "FILE", line};
     TCLAP::SwitchArg publish{"p", "publish", "Publish the record", line};
     TCLAP::MultiArg<std::string> column{
-        "c", "column", "Header of a column of the register", false, "NAME=HEADER", line};
+        "c", "column", "Column name and its header in the register", false, "NAME=HEADER", line};
     TCLAP::UnlabeledMultiArg<std::string> words{
-        "command", "Command and its words", false, "WORD", line};
+        "command", "Command and its arguments", false, "WORD", line};
 };
 
 class help_output final : public TCLAP::StdOutput {
@@ -103,25 +111,25 @@
     std::ostream& out;
 };
 
-auto given_options(const arguments_form& form) -> std::vector<std::string>
+auto given_options(const argument_parser& parser) -> std::vector<std::string>
 {
     const std::vector<const TCLAP::Arg*> all = {
-        &form.entry,
-        &form.hosts,
-        &form.key_file,
-        &form.json,
-        &form.base,
-        &form.author,
-        &form.timeout,
-        &form.limit,
-        &form.model,
-        &form.from,
-        &form.to,
-        &form.share,
-        &form.log,
-        &form.out,
-        &form.publish,
-        &form.column};
+        &parser.entry,
+        &parser.hosts,
+        &parser.key_file,
+        &parser.json,
+        &parser.base,
+        &parser.author,
+        &parser.timeout,
+        &parser.limit,
+        &parser.model,
+        &parser.from,
+        &parser.to,
+        &parser.share,
+        &parser.log,
+        &parser.out,
+        &parser.publish,
+        &parser.column};
     std::vector<std::string> result;
     for (const auto* item : all) {
         if (item->isSet()) {
@@ -142,28 +150,30 @@
     return result;
 }
 
-auto read_endpoints(const arguments_form& form, const environment& around, options& into)
+auto read_endpoints(
+    const argument_parser& parser, const environment_defaults& defaults, options& into)
     -> std::string
 {
-    const auto entries = form.entry.isSet() ? form.entry.getValue() : split(around.entries, ',');
+    const auto entries =
+        parser.entry.isSet() ? parser.entry.getValue() : split(defaults.entries, ',');
     for (const auto& text : entries) {
-        const auto where = http::parse_endpoint(text);
-        if (!where) {
-            return "--entry: not IP:PORT: " + text;
+        const auto endpoint = http::parse_endpoint(text);
+        if (!endpoint) {
+            return "--entry: expected IP:PORT: " + text;
         }
-        into.entries.push_back(*where);
+        into.entries.push_back(*endpoint);
     }
-    const auto hosts = form.hosts.isSet() ? form.hosts.getValue() : around.hosts;
+    const auto hosts = parser.hosts.isSet() ? parser.hosts.getValue() : defaults.hosts;
     if (!hosts.empty()) {
         into.hosts = http::parse_endpoint(hosts);
         if (!into.hosts) {
-            return "--hosts: not IP:PORT: " + hosts;
+            return "--hosts: expected IP:PORT: " + hosts;
         }
     }
     return {};
 }
 
-auto read_columns(const arguments_form& form, inventory::register_columns& into) -> std::string
+auto read_columns(const argument_parser& parser, inventory::register_columns& into) -> std::string
 {
     const std::vector<std::pair<std::string, std::string*>> known = {
         {"id", &into.id},
@@ -174,61 +184,62 @@
         {"versions", &into.versions},
         {"service", &into.service},
         {"checks_fencing", &into.checks_fencing}};
-    for (const auto& text : form.column.getValue()) {
+    for (const auto& text : parser.column.getValue()) {
         const auto split = text.find('=');
         const auto name = text.substr(0, split);
         const auto found =
             std::ranges::find(known, name, &std::pair<std::string, std::string*>::first);
         if (split == std::string::npos || found == known.end()) {
-            return "--column: not NAME=HEADER with a known name: " + text;
+            return "--column: expected NAME=HEADER with a known name: " + text;
         }
         *found->second = text.substr(split + 1);
     }
     return {};
 }
 
-auto read_numbers(const arguments_form& form, options& into) -> std::string
+auto read_numbers(const argument_parser& parser, options& into) -> std::string
 {
-    if (form.timeout.getValue() < 0 || form.limit.getValue() < 0) {
+    if (parser.timeout.getValue() < 0 || parser.limit.getValue() < 0) {
         return "--timeout and --limit must not be negative";
     }
-    into.timeout = std::chrono::seconds(form.timeout.getValue());
-    into.limit = static_cast<std::size_t>(form.limit.getValue());
-    if (form.base.isSet()) {
-        into.base = common::log_offset{form.base.getValue()};
+    into.timeout = std::chrono::seconds(parser.timeout.getValue());
+    into.limit = static_cast<std::size_t>(parser.limit.getValue());
+    if (parser.base.isSet()) {
+        into.base = common::log_offset{parser.base.getValue()};
     }
-    if (form.share.isSet()) {
-        const auto share = form.share.getValue();
+    if (parser.share.isSet()) {
+        const auto share = parser.share.getValue();
         if (share < 0 || share > whole_share) {
-            return "--share: 0 to 1000 permille";
+            return "--share must be 0 to 1000 permille";
         }
         into.share = common::permille{static_cast<std::uint32_t>(share)};
     }
     return {};
 }
 
-/// Empty if all that the command needs is there.
-auto find_missing(const options& read) -> std::string
+/// Checks that the options which the command requires are given and valid. Returns the problem, or
+/// an empty string.
+auto check_requirements(const options& read) -> std::string
 {
     using kind = operators::command_kind;
-    const bool asks_entries =
+    const bool contacts_entries =
         read.command.needs_entry || (read.command.kind == kind::explain && read.logs.empty());
-    if (asks_entries && read.entries.empty() && !read.hosts) {
-        return "--entry or --hosts is needed";
+    if (contacts_entries && read.entries.empty() && !read.hosts) {
+        return "--entry or --hosts is required";
     }
     const auto needs_hosts = read.command.kind == kind::drain || read.command.kind == kind::watch;
     if (needs_hosts && !read.hosts) {
-        return "--hosts is needed";
+        return "--hosts is required";
     }
     if (read.command.kind == kind::watch) {
-        const auto& word = read.words.front();
+        const auto& word = read.arguments.front();
         const auto revision = operators::parse_revision(word);
         return word == operators::latest_revision_keyword || revision ? ""
                                                                       : revision.error().detail;
     }
     if (read.command.kind == kind::rollout) {
-        const auto starts = read.words.front() == "start";
-        const auto verb = operators::parse_rollout_action(read.words.front());
+        const auto starts = read.arguments.front() == "start";
+        const auto verb = operators::parse_rollout_action(read.arguments.front());
         if (!starts && !verb) {
             return verb.error().detail;
         }
@@ -236,39 +247,40 @@
         const auto has_any =
             !read.model.empty() || !read.from.empty() || !read.to.empty() || read.share;
         if (starts && !has_all) {
-            return "rollout start needs --model, --from and --to";
+            return "rollout start requires --model, --from and --to";
         }
         if (!starts && has_any) {
-            return "only rollout start takes --model, --from, --to and --share";
+            return "only rollout start accepts --model, --from, --to and --share";
         }
     }
     return {};
 }
 
-auto take(const arguments_form& form, const environment& around) -> common::result<options>
+auto build_options(const argument_parser& parser, const environment_defaults& defaults)
+    -> common::result<options>
 {
-    const auto& words = form.words.getValue();
-    const auto command = operators::find_command(words, given_options(form));
+    const auto& words = parser.words.getValue();
+    const auto command = operators::find_command(words, given_options(parser));
     if (!command) {
         return tl::unexpected(command.error());
     }
     options result;
     result.command = *command;
-    result.words.assign(words.begin() + 1, words.end());
-    result.key_file = form.key_file.getValue();
-    result.as_json = form.json.getValue();
-    result.author = form.author.getValue();
-    result.model = form.model.getValue();
-    result.from = form.from.getValue();
-    result.to = form.to.getValue();
-    result.logs = form.log.getValue();
-    result.out = form.out.getValue();
-    result.publish = form.publish.getValue();
+    result.arguments.assign(words.begin() + 1, words.end());
+    result.key_file = parser.key_file.getValue();
+    result.as_json = parser.json.getValue();
+    result.author = parser.author.getValue();
+    result.model = parser.model.getValue();
+    result.from = parser.from.getValue();
+    result.to = parser.to.getValue();
+    result.logs = parser.log.getValue();
+    result.out = parser.out.getValue();
+    result.publish = parser.publish.getValue();
     for (const auto& problem :
-         {read_endpoints(form, around, result),
-          read_columns(form, result.columns),
-          read_numbers(form, result),
-          find_missing(result)}) {
+         {read_endpoints(parser, defaults, result),
+          read_columns(parser, result.columns),
+          read_numbers(parser, result),
+          check_requirements(result)}) {
         if (!problem.empty()) {
             return common::failure(common::result_code::malformed_request, problem);
         }
@@ -281,17 +293,17 @@
 auto read_options(
     int argument_count,
     const char* const* arguments,
-    const environment& around,
+    const environment_defaults& defaults,
     std::ostream& out,
     std::ostream& errors) -> std::variant<options, int>
 {
-    arguments_form form;
+    argument_parser parser;
     help_output pages(out);
-    form.line.setOutput(&pages);
-    form.line.setExceptionHandling(false);
+    parser.line.setOutput(&pages);
+    parser.line.setExceptionHandling(false);
     std::vector<std::string> words(arguments, arguments + argument_count);
     try {
-        form.line.parse(words);
+        parser.line.parse(words);
     }
     catch (const TCLAP::ArgException& problem) {
         errors << "reedramp-ctl: " << problem.argId() << " " << problem.error() << "\n";
@@ -300,7 +312,7 @@
     catch (const TCLAP::ExitException& end) {
         return end.getExitStatus();
     }
-    auto read = take(form, around);
+    auto read = build_options(parser, defaults);
     if (!read) {
         errors << "reedramp-ctl: " << read.error().detail << "\n";
         return operators::usage_error_exit_code;
--- a/source/ctl/options.hpp
+++ b/source/ctl/options.hpp
@@ -15,16 +15,16 @@
 
 namespace reedramp::ctl {
 
-/// The command line, read and checked.
+/// The parsed and validated command line.
 struct options {
     operators::command_row command;
-    /// After the command's name.
-    std::vector<std::string> words;
+    /// Arguments after the command's name.
+    std::vector<std::string> arguments;
 
     std::vector<http::endpoint> entries;
-    /// The platform's list of hosts.
+    /// Address of the platform's host list.
     std::optional<http::endpoint> hosts;
-    /// Empty: the key is in the environment.
+    /// File with the operator's key; if empty, the key is read from the environment.
     std::string key_file;
     bool as_json = false;
 
@@ -38,27 +38,29 @@
     std::string to;
     std::optional<common::permille> share;
 
-    /// Logs of routers; "-" for standard input.
+    /// Log files of routers; "-" for standard input.
     std::vector<std::string> logs;
 
-    /// Empty for none, "-" for standard output.
+    /// File for the record; empty for none, "-" for standard output.
     std::string out;
     bool publish = false;
     inventory::register_columns columns;
 };
 
-/// What the environment says where the command line does not.
-struct environment {
+/// Values from environment variables, used for options that the command line lacks.
+struct environment_defaults {
     /// Entries, "IP:PORT[,IP:PORT]...".
     std::string entries;
+    /// The host list, "IP:PORT".
     std::string hosts;
 };
 
-/// The options, or the code to exit with; what the operator should read has then been written.
+/// Parses the command line. Returns the options, or the exit code after a help text has been
+/// written to `out` or an error to `errors`.
 auto read_options(
     int argument_count,
     const char* const* arguments,
-    const environment& around,
+    const environment_defaults& defaults,
     std::ostream& out,
     std::ostream& errors) -> std::variant<options, int>;
 
--- a/source/ctl/process_commands.cpp
+++ b/source/ctl/process_commands.cpp
@@ -19,36 +19,40 @@
 
 constexpr std::chrono::milliseconds watch_period{50};
 
-auto agent_of(
+auto find_agent(
     const std::vector<platform::host_entry>& rows, const inventory::backend_server& server)
     -> common::result<http::endpoint>
 {
     const auto found = std::ranges::find(rows, server.host, &platform::host_entry::host);
     if (found == rows.end()) {
-        return failure(result_code::not_found, "the host list has no host " + server.host.value());
+        return failure(
+            result_code::not_found, "the host list does not contain host " + server.host.value());
     }
-    const auto where = http::parse_endpoint(found->http);
-    if (!where || found->role != platform::host_role::server) {
+    const auto endpoint = http::parse_endpoint(found->http);
+    if (!endpoint || found->role != platform::host_role::server) {
         return failure(
-            result_code::not_found, "host " + server.host.value() + " has no agent's address");
+            result_code::not_found,
+            "host " + server.host.value() + " has no agent address in the host list");
     }
-    return *where;
+    return *endpoint;
 }
 
-/// The newest one that an entry has folded; publications are answered only after that.
-auto newest_of_entries(caller& by, const options& given) -> common::result<common::log_offset>
+/// The newest revision that any entry has applied. An entry answers a publication only after it has
+/// applied the record, so this includes every confirmed publication.
+auto fetch_latest_revision(admin_client& client, const options& opts)
+    -> common::result<common::log_offset>
 {
-    const auto entries = entries_of(by, given);
+    const auto entries = resolve_entries(client, opts);
     if (!entries) {
         return tl::unexpected(entries.error());
     }
-    std::vector<addressed_request> questions;
-    for (const auto& where : *entries) {
-        questions.push_back({where, operators::read_request("status")});
+    std::vector<addressed_request> requests;
+    for (const auto& endpoint : *entries) {
+        requests.push_back({endpoint, operators::read_request("status")});
     }
     auto found = common::result<common::log_offset>(
-        failure(result_code::peer_unavailable, "no entry answers"));
-    for (const auto& answer : by.ask_all(questions, true)) {
+        failure(result_code::peer_unavailable, "no entry is configured or listed"));
+    for (const auto& answer : client.send_all(requests, true)) {
         if (answer) {
             const auto offset = operators::parse_status_offset(*answer);
             found = std::max(found.value_or(offset), offset);
@@ -60,76 +64,79 @@
     return found;
 }
 
-auto wanted_revision(caller& by, const options& given) -> common::result<common::log_offset>
+auto resolve_revision(admin_client& client, const options& opts)
+    -> common::result<common::log_offset>
 {
-    const auto& word = given.words.front();
-    return word == operators::latest_revision_keyword ? newest_of_entries(by, given)
+    const auto& word = opts.arguments.front();
+    return word == operators::latest_revision_keyword ? fetch_latest_revision(client, opts)
                                                       : operators::parse_revision(word);
 }
 
-/// Asks all processes that lack the revision, and shows progress when there is some.
-auto look(caller& by, operators::revision_watch& progress, bool shows) -> void
+/// Queries the processes in which the revision is not in force yet. Prints the progress if
+/// `prints_progress` is true and it has changed.
+auto query_processes(
+    admin_client& client, operators::revision_watch& progress, bool prints_progress) -> void
 {
     const auto waiting = progress.pending_processes();
     const auto before = progress.in_force_count();
-    std::vector<addressed_request> questions;
+    std::vector<addressed_request> requests;
     for (const auto& item : waiting) {
-        const auto where = http::parse_endpoint(item.row.http);
-        questions.push_back({where.value_or(http::endpoint{}), operators::metrics_request()});
+        const auto endpoint = http::parse_endpoint(item.row.http);
+        requests.push_back({endpoint.value_or(http::endpoint{}), operators::metrics_request()});
     }
-    const auto answers = by.ask_all(questions, false);
+    const auto answers = client.send_all(requests, false);
     const auto now = daemon::boot_time();
     for (std::size_t index = 0; index < waiting.size(); ++index) {
         progress.apply_metrics(waiting[index].row.host, answers[index], now);
     }
-    if (shows && progress.in_force_count() != before) {
+    if (prints_progress && progress.in_force_count() != before) {
         std::cerr << progress.progress_text() << std::endl;
     }
 }
 
 } // namespace
 
-auto drain(caller& by, const options& given) -> printed
+auto drain(admin_client& client, const options& opts) -> command_output
 {
-    const auto& name = given.words.front();
-    const auto current = fetch_state(by, given);
+    const auto& name = opts.arguments.front();
+    const auto current = fetch_state(client, opts);
     if (!current) {
         return tl::unexpected(current.error());
     }
     const auto server = current->servers.find(common::server_id{name});
     if (server == current->servers.end()) {
-        return failure(result_code::not_found, "there is no server " + name);
+        return failure(result_code::not_found, "unknown server " + name);
     }
-    const auto rows = by.hosts(*given.hosts);
+    const auto rows = client.fetch_hosts(*opts.hosts);
     if (!rows) {
         return tl::unexpected(rows.error());
     }
-    const auto where = agent_of(*rows, server->second);
-    if (!where) {
-        return tl::unexpected(where.error());
+    const auto endpoint = find_agent(*rows, server->second);
+    if (!endpoint) {
+        return tl::unexpected(endpoint.error());
     }
-    const auto answer = by.ask(*where, operators::drain_request());
-    if (!answer || given.as_json) {
+    const auto answer = client.send(*endpoint, operators::drain_request());
+    if (!answer || opts.as_json) {
         return answer.map([](const std::string& text) { return text + "\n"; });
     }
     return "server " + name + " on host " + server->second.host.value() +
-           " takes no new work; what runs goes on\n";
+           " accepts no new requests; running requests continue\n";
 }
 
-auto watch(caller& by, const options& given) -> printed
+auto watch(admin_client& client, const options& opts) -> command_output
 {
-    const auto revision = wanted_revision(by, given);
+    const auto revision = resolve_revision(client, opts);
     if (!revision) {
         return tl::unexpected(revision.error());
     }
     const auto begin = daemon::boot_time();
-    const auto end = begin + given.timeout;
+    const auto end = begin + opts.timeout;
     operators::revision_watch progress(*revision, begin);
     while (true) {
-        const auto rows = by.hosts(*given.hosts);
+        const auto rows = client.fetch_hosts(*opts.hosts);
         if (rows) {
             progress.update_hosts(*rows);
-            look(by, progress, !given.as_json);
+            query_processes(client, progress, !opts.as_json);
         }
         if (progress.complete()) {
             break;
@@ -142,7 +149,7 @@
         }
         std::this_thread::sleep_for(watch_period);
     }
-    auto text = given.as_json ? progress.json() + "\n" : progress.text();
+    auto text = opts.as_json ? progress.json() + "\n" : progress.text();
     const auto outcome = progress.outcome();
     if (outcome) {
         return text;
--- a/source/ctl/read_commands.cpp
+++ b/source/ctl/read_commands.cpp
@@ -18,38 +18,38 @@
 
 namespace {
 
-auto read_resource(caller& by, const options& given, const std::string& resource)
+auto read_resource(admin_client& client, const options& opts, const std::string& resource)
     -> common::result<std::string>
 {
-    const auto entries = entries_of(by, given);
+    const auto entries = resolve_entries(client, opts);
     if (!entries) {
         return tl::unexpected(entries.error());
     }
-    return by.ask_any(*entries, operators::read_request(resource));
+    return client.send_to_any(*entries, operators::read_request(resource));
 }
 
-auto line(const std::string& text) -> std::string
+auto with_newline(const std::string& text) -> std::string
 {
     return text + "\n";
 }
 
-/// The host list with what each process says of itself; nothing if there is no list.
-auto ask_hosts(caller& by, const options& given)
+/// The host list with the health that each process reports; empty if no list is given or available.
+auto fetch_host_status(admin_client& client, const options& opts)
     -> std::optional<std::vector<operators::host_status>>
 {
-    if (!given.hosts) {
+    if (!opts.hosts) {
         return std::nullopt;
     }
-    const auto rows = by.hosts(*given.hosts);
+    const auto rows = client.fetch_hosts(*opts.hosts);
     if (!rows) {
         return std::nullopt;
     }
-    std::vector<addressed_request> questions;
+    std::vector<addressed_request> requests;
     for (const auto& row : *rows) {
-        const auto where = http::parse_endpoint(row.http);
-        questions.push_back({where.value_or(http::endpoint{}), operators::health_request()});
+        const auto endpoint = http::parse_endpoint(row.http);
+        requests.push_back({endpoint.value_or(http::endpoint{}), operators::health_request()});
     }
-    const auto answers = by.answers_of(questions);
+    const auto answers = client.fetch_responses(requests);
     std::vector<operators::host_status> result;
     for (std::size_t index = 0; index < answers.size(); ++index) {
         result.push_back({rows->at(index), operators::health_text(answers[index])});
@@ -57,16 +57,16 @@
     return result;
 }
 
-auto given_draft(const options& given) -> common::result<operators::draft>
+auto read_draft_file(const options& opts) -> common::result<operators::draft>
 {
-    const auto text = read_file(given.words.front());
+    const auto text = read_file(opts.arguments.front());
     if (!text) {
         return tl::unexpected(text.error());
     }
-    return operators::read_draft(*text, {given.author, daemon::wall_time(), given.base});
+    return operators::read_draft(*text, {opts.author, daemon::wall_time(), opts.base});
 }
 
-auto compare_with(const inventory::state& current, operators::draft item)
+auto preview_changes(const inventory::state& current, operators::draft item)
     -> common::result<std::vector<operators::entity_difference>>
 {
     const auto record = operators::complete_draft(std::move(item), current.offset);
@@ -88,22 +88,22 @@
     return std::string(std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>());
 }
 
-auto fetch_state(caller& by, const options& given) -> common::result<inventory::state>
+auto fetch_state(admin_client& client, const options& opts) -> common::result<inventory::state>
 {
-    const auto body = read_resource(by, given, "state");
+    const auto body = read_resource(client, opts, "state");
     if (!body) {
         return tl::unexpected(body.error());
     }
     return operators::parse_state(*body);
 }
 
-auto show(caller& by, const options& given) -> printed
+auto show(admin_client& client, const options& opts) -> command_output
 {
-    const auto body = read_resource(by, given, "state");
-    const auto kind = given.words.empty() ? "" : given.words.front();
-    const auto id = given.words.size() < 2 ? "" : given.words.back();
-    if (!body || (given.as_json && kind.empty())) {
-        return body.map(line);
+    const auto body = read_resource(client, opts, "state");
+    const auto kind = opts.arguments.empty() ? "" : opts.arguments.front();
+    const auto id = opts.arguments.size() < 2 ? "" : opts.arguments.back();
+    if (!body || (opts.as_json && kind.empty())) {
+        return body.map(with_newline);
     }
     const auto current = operators::parse_state(*body);
     if (!current) {
@@ -112,20 +112,20 @@
     return operators::state_text(*current, kind, id);
 }
 
-auto history(caller& by, const options& given) -> printed
+auto history(admin_client& client, const options& opts) -> command_output
 {
-    const auto body = read_resource(by, given, "history");
-    if (!body || given.as_json) {
-        return body.map(line);
+    const auto body = read_resource(client, opts, "history");
+    if (!body || opts.as_json) {
+        return body.map(with_newline);
     }
-    return operators::history_text(*body, given.limit);
+    return operators::history_text(*body, opts.limit);
 }
 
-auto bills(caller& by, const options& given) -> printed
+auto bills(admin_client& client, const options& opts) -> command_output
 {
-    const auto body = read_resource(by, given, "bills");
-    if (!body || given.as_json) {
-        return body.map(line);
+    const auto body = read_resource(client, opts, "bills");
+    if (!body || opts.as_json) {
+        return body.map(with_newline);
     }
     return operators::bills_text(*body);
 }
@@ -140,7 +140,7 @@
     if (!is_standard_input) {
         file.open(path);
         if (!file) {
-            return failure(result_code::not_found, "cannot read " + path);
+            return failure(result_code::not_found, "cannot read log " + path);
         }
     }
     std::istream& from = is_standard_input ? std::cin : file;
@@ -154,127 +154,132 @@
     return {};
 }
 
-auto explain_from_logs(const options& given) -> printed
+auto explain_from_logs(const options& opts) -> command_output
 {
     std::vector<operators::log_line> lines;
-    for (const auto& path : given.logs) {
+    for (const auto& path : opts.logs) {
         const auto read = read_log(path, lines);
         if (!read) {
             return tl::unexpected(read.error());
         }
     }
-    const auto trace = operators::build_request_trace(given.words.front(), lines);
+    const auto trace = operators::build_request_trace(opts.arguments.front(), lines);
     if (!trace) {
         return tl::unexpected(trace.error());
     }
-    return given.as_json ? line(operators::trace_json(*trace)) : operators::trace_text(*trace);
+    return opts.as_json ? with_newline(operators::trace_json(*trace))
+                        : operators::trace_text(*trace);
 }
 
 } // namespace
 
-auto explain(caller& by, const options& given) -> printed
+auto explain(admin_client& client, const options& opts) -> command_output
 {
-    if (!given.logs.empty()) {
-        return explain_from_logs(given);
+    if (!opts.logs.empty()) {
+        return explain_from_logs(opts);
     }
-    const auto entries = entries_of(by, given);
+    const auto entries = resolve_entries(client, opts);
     if (!entries) {
         return tl::unexpected(entries.error());
     }
-    std::vector<addressed_request> questions;
-    for (const auto& where : *entries) {
-        questions.push_back({where, operators::read_request("explain/" + given.words.front())});
+    std::vector<addressed_request> requests;
+    for (const auto& endpoint : *entries) {
+        requests.push_back(
+            {endpoint, operators::read_request("explain/" + opts.arguments.front())});
     }
     auto not_found = common::result<std::string>(
-        failure(result_code::not_found, "no entry has a record of the request"));
-    const auto answers = by.ask_all(questions, true);
+        failure(result_code::not_found, "no entry has an explanation of the request"));
+    const auto answers = client.send_all(requests, true);
     for (std::size_t index = 0; index < answers.size(); ++index) {
         const auto& answer = answers[index];
         if (answer) {
-            return given.as_json ? line(*answer) : operators::explanation_text(*answer);
+            return opts.as_json ? with_newline(*answer) : operators::explanation_text(*answer);
         }
-        // The entry that did not answer may be the one that knows.
+        // An entry that failed to answer may be the one that has the record.
         if (answer.error().code != result_code::not_found) {
             not_found = answer;
             not_found.error().detail =
-                http::to_string(questions[index].where) + ": " + answer.error().detail;
+                http::to_string(requests[index].endpoint) + ": " + answer.error().detail;
         }
     }
     return not_found;
 }
 
-auto status(caller& by, const options& given) -> printed
+auto status(admin_client& client, const options& opts) -> command_output
 {
-    const auto entries = entries_of(by, given);
+    const auto entries = resolve_entries(client, opts);
     if (!entries) {
         return tl::unexpected(entries.error());
     }
-    std::vector<addressed_request> questions;
-    for (const auto& where : *entries) {
-        questions.push_back({where, operators::read_request("status")});
+    std::vector<addressed_request> requests;
+    for (const auto& endpoint : *entries) {
+        requests.push_back({endpoint, operators::read_request("status")});
     }
-    auto answers = by.ask_all(questions, true);
+    auto answers = client.send_all(requests, true);
     operators::system_status report;
-    const common::error* refused = nullptr;
+    const common::error* last_error = nullptr;
     auto has_answer = false;
     for (std::size_t index = 0; index < answers.size(); ++index) {
-        report.entries.push_back({http::to_string(questions[index].where), answers[index]});
+        report.entries.push_back({http::to_string(requests[index].endpoint), answers[index]});
         has_answer = has_answer || answers[index].has_value();
-        refused = answers[index] ? refused : &answers[index].error();
+        last_error = answers[index] ? last_error : &answers[index].error();
     }
-    if (!has_answer && refused != nullptr) {
-        return tl::unexpected(*refused);
+    if (!has_answer && last_error != nullptr) {
+        return tl::unexpected(*last_error);
     }
-    if (auto state = fetch_state(by, given)) {
+    if (auto state = fetch_state(client, opts)) {
         report.state = std::move(*state);
     }
-    if (auto bills = read_resource(by, given, "bills")) {
+    if (auto bills = read_resource(client, opts, "bills")) {
         report.bills = std::move(*bills);
     }
-    report.hosts = ask_hosts(by, given);
-    return given.as_json ? line(operators::status_json(report)) : operators::status_text(report);
+    report.hosts = fetch_host_status(client, opts);
+    return opts.as_json ? with_newline(operators::status_json(report))
+                        : operators::status_text(report);
 }
 
-auto check(caller& by, const options& given) -> printed
+auto check(admin_client& client, const options& opts) -> command_output
 {
-    auto item = given_draft(given);
+    auto item = read_draft_file(opts);
     if (!item) {
         return tl::unexpected(item.error());
     }
-    const auto is_online = !given.entries.empty() || given.hosts;
+    const auto is_online = !opts.entries.empty() || opts.hosts;
     if (is_online) {
-        return diff(by, given);
+        return diff(client, opts);
     }
     const auto is_first = item->has_base && item->item.base == common::log_offset{0};
     if (!is_first) {
-        return given.as_json ? line(R"({"form":"good","checked_against":null})")
-                             : line("the form is good; give --entry to check what it changes");
+        return opts.as_json
+                   ? with_newline(R"({"form":"good","checked_against":null})")
+                   : with_newline(
+                         "the record file is valid; use --entry to check what it would change");
     }
-    // A first inventory needs no entry: it goes onto the empty configuration.
-    const auto rows = compare_with({}, std::move(*item));
+    // The first record of an inventory is compared with the empty configuration, without an entry.
+    const auto rows = preview_changes({}, std::move(*item));
     if (!rows) {
         return tl::unexpected(rows.error());
     }
-    return given.as_json ? line(operators::difference_json(*rows))
-                         : operators::difference_text(*rows);
+    return opts.as_json ? with_newline(operators::difference_json(*rows))
+                        : operators::difference_text(*rows);
 }
 
-auto diff(caller& by, const options& given) -> printed
+auto diff(admin_client& client, const options& opts) -> command_output
 {
-    auto item = given_draft(given);
+    auto item = read_draft_file(opts);
     if (!item) {
         return tl::unexpected(item.error());
     }
-    const auto current = fetch_state(by, given);
+    const auto current = fetch_state(client, opts);
     if (!current) {
         return tl::unexpected(current.error());
     }
-    const auto rows = compare_with(*current, std::move(*item));
+    const auto rows = preview_changes(*current, std::move(*item));
     if (!rows) {
         return tl::unexpected(rows.error());
     }
-    return given.as_json ? line(operators::difference_json(*rows))
-                         : operators::difference_text(*rows);
+    return opts.as_json ? with_newline(operators::difference_json(*rows))
+                        : operators::difference_text(*rows);
 }
 
 } // namespace reedramp::ctl
