--- a/source/load/answer_check.cpp
+++ b/source/load/answer_check.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-constexpr std::string_view data_mark = "data: ";
-constexpr std::string_view end_mark = "[DONE]";
-constexpr std::uint16_t first_success = 200;
-constexpr std::uint16_t after_success = 300;
+constexpr std::string_view data_prefix = "data: ";
+constexpr std::string_view done_marker = "[DONE]";
+constexpr std::uint16_t first_success_status = 200;
+constexpr std::uint16_t first_redirect_status = 300;
 
-/// What the body of an answer brought, streamed or not.
+/// Content of an answer's body, streamed or not.
 struct chat_body {
     std::string text;
     bool is_ended = false;
-    /// Name of the error, if there was one.
+    /// Name of the error; empty if there was none.
     std::string error;
     std::string execution;
     std::optional<std::uint64_t> completion_tokens;
 };
 
-auto read_usage(const boost::json::object& fields, chat_body& into) -> void
+auto parse_usage(const boost::json::object& fields, chat_body& into) -> void
 {
     const auto* usage = platform::object_field(fields, "usage");
     if (usage != nullptr) {
@@ -33,8 +33,8 @@
     }
 }
 
-/// The object `part` ("delta" or "message") of the first choice.
-auto find_part(const boost::json::object& fields, std::string_view part)
+/// The member `name` ("delta" or "message") of the first choice; null if it is missing.
+auto find_choice_member(const boost::json::object& fields, std::string_view name)
     -> const boost::json::object*
 {
     const auto* choices = platform::array_field(fields, "choices");
@@ -42,12 +42,12 @@
         return nullptr;
     }
     const auto* choice = choices->front().if_object();
-    return choice == nullptr ? nullptr : platform::object_field(*choice, part);
+    return choice == nullptr ? nullptr : platform::object_field(*choice, name);
 }
 
-auto read_event(std::string_view data, chat_body& into) -> void
+auto parse_event(std::string_view data, chat_body& into) -> void
 {
-    if (data == end_mark) {
+    if (data == done_marker) {
         into.is_ended = true;
         return;
     }
@@ -61,41 +61,41 @@
         into.execution = platform::string_field(*fields, "execution").value_or("");
         return;
     }
-    read_usage(*fields, into);
-    if (const auto* delta = find_part(*fields, "delta")) {
+    parse_usage(*fields, into);
+    if (const auto* delta = find_choice_member(*fields, "delta")) {
         into.text += platform::string_field(*delta, "content").value_or("");
     }
 }
 
-auto read_stream(std::string_view events) -> chat_body
+auto parse_stream(std::string_view events) -> chat_body
 {
     chat_body body;
     while (!events.empty()) {
         const auto line = events.substr(0, events.find('\n'));
         events.remove_prefix(std::min(events.size(), line.size() + 1));
-        if (line.starts_with(data_mark)) {
-            read_event(line.substr(data_mark.size()), body);
+        if (line.starts_with(data_prefix)) {
+            parse_event(line.substr(data_prefix.size()), body);
         }
     }
     return body;
 }
 
-auto read_whole(std::string_view json) -> chat_body
+auto parse_whole(std::string_view json) -> chat_body
 {
     chat_body body;
     const auto fields = platform::parse_object(json);
-    const auto* message = fields ? find_part(*fields, "message") : nullptr;
+    const auto* message = fields ? find_choice_member(*fields, "message") : nullptr;
     if (message == nullptr) {
         body.error = "malformed_answer";
         return body;
     }
-    read_usage(*fields, body);
+    parse_usage(*fields, body);
     body.text = platform::string_field(*message, "content").value_or("");
     body.is_ended = true;
     return body;
 }
 
-/// Why an answer that claims to be whole is not the right one; empty if it is.
+/// Name of the fault in a complete answer; empty if it has none.
 auto find_fault(
     const chat_body& body,
     const std::optional<standin::answer_reading>& reading,
@@ -134,20 +134,20 @@
     if (auto refusal = check_refusal(answer)) {
         return *refusal;
     }
-    auto body = expected.stream ? read_stream(answer.body) : read_whole(answer.body);
+    auto body = expected.stream ? parse_stream(answer.body) : parse_whole(answer.body);
     const auto reading = standin::read_answer(body.text);
     answer_verdict verdict;
     verdict.completion_tokens = body.completion_tokens;
     verdict.version = reading ? reading->version : "";
-    verdict.is_bad = reading && reading->bad;
+    verdict.is_from_faulty_engine = reading && reading->bad;
     if (!body.error.empty() || !body.is_ended) {
         verdict.state = answer_state::broken;
-        verdict.why = body.error.empty() ? "no_end" : body.error;
+        verdict.reason = body.error.empty() ? "no_end" : body.error;
         verdict.execution = body.execution;
         return verdict;
     }
-    verdict.why = find_fault(body, reading, answer, expected);
-    verdict.state = verdict.why.empty() ? answer_state::answered : answer_state::wrong;
+    verdict.reason = find_fault(body, reading, answer, expected);
+    verdict.state = verdict.reason.empty() ? answer_state::answered : answer_state::wrong;
     verdict.text = std::move(body.text);
     return verdict;
 }
@@ -160,22 +160,22 @@
     answer_verdict verdict;
     const auto fields = platform::parse_object(answer.body);
     const auto size = fields ? platform::count_field(*fields, "body_bytes") : std::nullopt;
-    const auto is_own = size == body.size();
-    verdict.state = is_own ? answer_state::answered : answer_state::wrong;
-    verdict.why = is_own ? "" : "foreign_answer";
+    const auto is_own_answer = size == body.size();
+    verdict.state = is_own_answer ? answer_state::answered : answer_state::wrong;
+    verdict.reason = is_own_answer ? "" : "foreign_answer";
     return verdict;
 }
 
 auto check_refusal(const http::response& answer) -> std::optional<answer_verdict>
 {
-    if (answer.status >= first_success && answer.status < after_success) {
+    if (answer.status >= first_success_status && answer.status < first_redirect_status) {
         return std::nullopt;
     }
     answer_verdict verdict;
     verdict.state = answer_state::refused;
     const auto fields = platform::parse_object(answer.body);
     const auto name = fields ? platform::string_field(*fields, "name") : std::nullopt;
-    verdict.why = name.value_or("status_" + std::to_string(answer.status));
+    verdict.reason = name.value_or("status_" + std::to_string(answer.status));
     if (fields) {
         verdict.execution = platform::string_field(*fields, "execution").value_or("");
     }
--- a/source/load/answer_check.hpp
+++ b/source/load/answer_check.hpp
@@ -9,50 +9,51 @@
 
 namespace reedramp::load {
 
-/// What a caller got, in the order of how much it got.
+/// Outcome of a request from the caller's view, ordered from a complete answer to none.
 enum class answer_state : std::uint8_t {
     answered,
-    /// Refused, or failed, with a numbered result code.
+    /// Answered with a status other than 2xx.
     refused,
-    /// A stream with an error event, or one that ended without its end marker.
+    /// A malformed body, or a stream that has an error event or lacks its end marker.
     broken,
-    /// Said to be whole, but it is not the answer to this request.
+    /// Complete, but not the answer to this request.
     wrong,
-    /// No answer at all.
+    /// No answer was received in any attempt.
     lost,
 };
 
+/// Result of an answer's check.
 struct answer_verdict {
     answer_state state = answer_state::wrong;
-    /// Name of the result code, or what is wrong with the answer.
-    std::string why;
-    /// "not_run", "ran" or "unknown", as the refusal says.
+    /// Name of the result code, or of the fault in the answer.
+    std::string reason;
+    /// "not_run", "ran" or "unknown", as stated by the refusal or the error event.
     std::string execution;
-    /// The version that really answered, by the answer's text.
+    /// The version that produced the answer, read from its text.
     std::string version;
-    /// The answer is in order, but of an engine that has turned bad.
-    bool is_bad = false;
+    /// The text is marked as produced by a faulty engine.
+    bool is_from_faulty_engine = false;
     std::string text;
     std::optional<std::uint64_t> completion_tokens;
 };
 
-/// What the answer has to be.
+/// Properties that an answer must have.
 struct expected_chat {
     std::string prompt;
     std::uint64_t tokens = 0;
     bool stream = false;
-    /// The version of the request's session; empty outside of one.
+    /// The version of the request's session; empty for a request without a session.
     std::string session_version;
 };
 
-/// Judges the answer to a chat: it has to be whole, in order, of the version that the header names,
-/// and to this prompt.
+/// Checks the answer to a chat: it must be complete, have its tokens in order, come from the
+/// version that the header names, and match the prompt.
 auto check_chat(const http::response& answer, const expected_chat& expected) -> answer_verdict;
 
-/// Judges the answer of a plain service of the stand-in.
+/// Checks the answer of a plain service of the stand-in to a request with `body`.
 auto check_service(const http::response& answer, std::string_view body) -> answer_verdict;
 
-/// Judges a status that is not 2xx; nothing for a 2xx.
+/// Verdict for an answer with a status other than 2xx; empty for 2xx.
 auto check_refusal(const http::response& answer) -> std::optional<answer_verdict>;
 
 } // namespace reedramp::load
--- a/source/load/arrivals.cpp
+++ b/source/load/arrival_generator.cpp
@@ -1,4 +1,4 @@
-#include "arrivals.hpp"
+#include "arrival_generator.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -10,7 +10,7 @@
 namespace {
 
 template <typename Item>
-auto weights_of(const std::vector<Item>& items) -> std::discrete_distribution<std::size_t>
+auto make_distribution(const std::vector<Item>& items) -> std::discrete_distribution<std::size_t>
 {
     std::vector<double> weights;
     weights.reserve(items.size());
@@ -37,31 +37,32 @@
 
 } // namespace
 
-arrivals::arrivals(const load_settings& given)
-    : generator(given.seed), gap_seconds(given.rate_per_second), mix(weights_of(given.mix)),
-      organisation(weights_of(given.organisations))
+arrival_generator::arrival_generator(const load_settings& run_settings)
+    : generator(run_settings.seed), gap_seconds(run_settings.rate_per_second),
+      mix(make_distribution(run_settings.mix)),
+      organisation(make_distribution(run_settings.organisations))
 {
 }
 
-auto arrivals::next() -> arrival
+auto arrival_generator::next() -> arrival
 {
     this->at += std::chrono::duration<double>(this->gap_seconds(this->generator));
-    arrival made;
-    made.number = this->number++;
-    made.mix = this->mix(this->generator);
-    made.organisation = this->organisation(this->generator);
-    made.at = std::chrono::duration_cast<common::duration>(this->at);
-    return made;
+    arrival result;
+    result.number = this->number++;
+    result.mix = this->mix(this->generator);
+    result.organisation = this->organisation(this->generator);
+    result.at = std::chrono::duration_cast<common::duration>(this->at);
+    return result;
 }
 
-auto chat_prompt::hashed_text() const -> std::string
+auto chat_prompt::text_to_hash() const -> std::string
 {
     std::string text;
-    if (!this->system.empty()) {
-        text += this->system + "\n";
+    if (!this->system_message.empty()) {
+        text += this->system_message + "\n";
     }
-    for (const auto& caller : this->callers) {
-        text += caller + "\n";
+    for (const auto& message : this->user_messages) {
+        text += message + "\n";
     }
     return text;
 }
@@ -88,13 +89,13 @@
 auto make_chat_body(const mix_settings& kind, const chat_prompt& prompt) -> std::string
 {
     boost::json::array messages;
-    if (!prompt.system.empty()) {
-        messages.emplace_back(message("system", prompt.system));
+    if (!prompt.system_message.empty()) {
+        messages.emplace_back(message("system", prompt.system_message));
     }
-    for (std::size_t index = 0; index < prompt.callers.size(); ++index) {
-        messages.emplace_back(message("user", prompt.callers[index]));
-        if (index < prompt.assistants.size()) {
-            messages.emplace_back(message("assistant", prompt.assistants[index]));
+    for (std::size_t index = 0; index < prompt.user_messages.size(); ++index) {
+        messages.emplace_back(message("user", prompt.user_messages[index]));
+        if (index < prompt.assistant_messages.size()) {
+            messages.emplace_back(message("assistant", prompt.assistant_messages[index]));
         }
     }
     boost::json::object body{
--- a/source/load/arrivals.hpp
+++ b/source/load/arrival_generator.hpp
@@ -10,21 +10,23 @@
 
 namespace reedramp::load {
 
-/// One arrival: which kind of request, of which organisation, when.
+/// One request to be sent.
 struct arrival {
     std::uint64_t number = 0;
+    /// Index of its kind in `load_settings::mix`.
     std::size_t mix = 0;
+    /// Index in `load_settings::organisations`.
     std::size_t organisation = 0;
-    /// Since the start of the run.
+    /// Time since the start of the run.
     common::duration at{};
 };
 
-/// Poisson arrivals of a fixed rate: the next request does not wait for an answer, so that a slow
-/// system does not slow the load down and hide its own delay. The same seed gives the same
-/// arrivals.
-class arrivals {
+/// Generates Poisson arrivals at a fixed rate (an open loop): requests do not wait for earlier
+/// answers, so a slow system cannot reduce the load and thereby hide its own delay. The same seed
+/// gives the same arrivals.
+class arrival_generator {
 public:
-    explicit arrivals(const load_settings& given);
+    explicit arrival_generator(const load_settings& run_settings);
 
     auto next() -> arrival;
 
@@ -37,24 +39,26 @@
     std::chrono::duration<double> at{0.0};
 };
 
-/// The messages of a chat and what the answer to them has to be.
+/// The messages of a chat.
 struct chat_prompt {
-    /// One system message if the kind has a prefix, then callers' and assistant's messages in turn.
-    std::vector<std::string> callers;
-    std::vector<std::string> assistants;
-    std::string system;
+    /// User and assistant messages alternate in the request, user messages first.
+    std::vector<std::string> user_messages;
+    std::vector<std::string> assistant_messages;
+    /// Empty if the kind has no prefix.
+    std::string system_message;
 
-    /// The text that the stand-in engine's answer depends on.
-    [[nodiscard]] auto hashed_text() const -> std::string;
+    /// The text from which the stand-in engine computes its answer.
+    [[nodiscard]] auto text_to_hash() const -> std::string;
 };
 
-/// Names one message of a run: an arrival and its turn within a session, 0 outside of one.
+/// Identifies a message of a run: an arrival, and the turn within its session (0 without a
+/// session).
 struct message_number {
     std::uint64_t arrival = 0;
     std::uint32_t turn = 0;
 };
 
-/// A caller's message that no other request of the run has.
+/// Creates a user message that is unique in the run.
 auto make_message(const mix_settings& kind, std::uint64_t seed, message_number number)
     -> std::string;
 
--- a/source/load/comparison.cpp
+++ b/source/load/bill_reader.cpp
@@ -1,20 +1,20 @@
-#include "comparison.hpp"
+#include "bill_reader.hpp"
 
 #include "billing/codec.hpp"
 #include "platform/json_fields.hpp"
 
 namespace reedramp::load {
 
-auto bill_reader::take(const std::vector<messages::log_record>& records) -> void
+auto bill_reader::add_records(const std::vector<messages::log_record>& records) -> void
 {
     for (const auto& record : records) {
-        this->last = record.offset;
+        this->last_offset = record.offset;
         const auto batch = billing::parse(record.data);
         if (!batch) {
             continue;
         }
         for (const auto& bill : batch->bills) {
-            billed sum;
+            request_bill sum;
             sum.lines = bill.lines.size();
             for (const auto& line : bill.lines) {
                 sum.completion_tokens += line.used.completion_tokens.value();
@@ -28,26 +28,27 @@
 auto bill_reader::compare(
     const std::unordered_map<std::string, std::uint64_t>& answered_tokens) const -> bill_comparison
 {
-    bill_comparison compared;
-    compared.answered = answered_tokens.size();
-    compared.bills = this->bills.size();
+    bill_comparison comparison;
+    comparison.answered = answered_tokens.size();
+    comparison.bills = this->bills.size();
     for (const auto& [request, tokens] : answered_tokens) {
         const auto found = this->bills.find(request);
         if (found == this->bills.end()) {
-            ++compared.missing;
+            ++comparison.missing;
             continue;
         }
         const auto& bill = found->second;
-        // A cascade or a replaced server has a line for each run, so that the sum may be larger.
-        const auto is_right =
+        // A cascade or a replaced server adds a line for each run, so the sum may exceed the
+        // answer.
+        const auto is_correct =
             bill.lines <= 1 ? bill.completion_tokens == tokens : bill.completion_tokens >= tokens;
-        compared.wrong_tokens += is_right ? 0 : 1;
+        comparison.wrong_tokens += is_correct ? 0 : 1;
     }
     for (const auto& [request, bill] : this->bills) {
-        compared.without_answer += answered_tokens.contains(request) ? 0 : 1;
-        compared.cost_micro += static_cast<std::uint64_t>(bill.cost_micro);
+        comparison.without_answer += answered_tokens.contains(request) ? 0 : 1;
+        comparison.cost_micro += static_cast<std::uint64_t>(bill.cost_micro);
     }
-    return compared;
+    return comparison;
 }
 
 auto add_run_bodies(std::string_view json, run_counts& into) -> bool
--- a/source/load/main.cpp
+++ b/source/load/main.cpp
@@ -6,7 +6,7 @@
 
 #include <boost/asio/io_context.hpp>
 
-#include "comparison.hpp"
+#include "bill_reader.hpp"
 #include "daemon/clock.hpp"
 #include "daemon/front.hpp"
 #include "daemon/io_pool.hpp"
@@ -17,16 +17,17 @@
 #include "runner.hpp"
 #include "settings.hpp"
 
-/// The load and experiment tool. Exit code 0 only if all its checks hold.
+/// The load test tool. Exits with code 0 only if all checks of the run pass.
 namespace {
 
 using namespace reedramp;
 
 constexpr std::size_t idle_connections = 512;
 constexpr std::chrono::milliseconds grace_after_deadline{10'000};
-constexpr std::chrono::milliseconds bill_poll{200};
+constexpr std::chrono::milliseconds bill_poll_timeout{200};
 
-/// Starts a call and waits for its answer, on a thread that is none of the pool's.
+/// Starts an asynchronous call and blocks until its answer arrives. Must not be called on a thread
+/// of the I/O pool, which delivers the answer.
 template <typename Answer, typename Start>
 auto wait_for(Start start) -> common::result<Answer>
 {
@@ -37,105 +38,107 @@
 }
 
 auto read_service_runs(
-    const load::load_settings& wanted,
+    const load::load_settings& run_settings,
     const std::shared_ptr<http::client>& client,
     load::report& results) -> bool
 {
     load::run_counts runs;
-    for (const auto& where : wanted.service_runs) {
-        http::request asked;
-        asked.method = "GET";
-        asked.target = "/runs/bodies";
+    for (const auto& endpoint : run_settings.service_runs) {
+        http::request request;
+        request.method = "GET";
+        request.target = "/runs/bodies";
         const auto answer = wait_for<http::response>([&](auto done) {
-            client->send(where, std::move(asked), {{}, {}, std::move(done)});
+            client->send(endpoint, std::move(request), {{}, {}, std::move(done)});
         });
         if (!answer || !load::add_run_bodies(answer->body, runs)) {
-            std::cerr << "cannot read the runs of " << http::to_string(where) << "\n";
+            std::cerr << "cannot read the run counts of service " << http::to_string(endpoint)
+                      << "\n";
             return false;
         }
     }
-    if (!wanted.service_runs.empty()) {
+    if (!run_settings.service_runs.empty()) {
         results.add_service_runs(runs);
     }
     return true;
 }
 
-/// Reads bills until each answer has one, or for `bill_wait_ms`.
+/// Reads bills until each answer has one and the end of the log is reached, or for `bill_wait_ms`.
 auto read_bills(
-    const load::load_settings& wanted,
+    const load::load_settings& run_settings,
     const std::shared_ptr<http::client>& client,
     load::report& results) -> bool
 {
-    if (!wanted.log) {
+    if (!run_settings.log) {
         return true;
     }
-    const auto log = platform::make_http_log(client, {*wanted.log});
-    const auto end = daemon::boot_time() + std::chrono::milliseconds(wanted.bill_wait_ms);
+    const auto log = platform::make_http_log(client, {*run_settings.log});
+    const auto end = daemon::boot_time() + std::chrono::milliseconds(run_settings.bill_wait_ms);
     load::bill_reader reader;
     while (true) {
         const auto page = wait_for<platform::read_answer>([&](auto done) {
-            log.read(platform::streams::bills, reader.offset(), bill_poll, std::move(done));
+            log.read(platform::streams::bills, reader.offset(), bill_poll_timeout, std::move(done));
         });
         if (!page) {
-            std::cerr << "cannot read the bills: " << page.error().detail << "\n";
+            std::cerr << "cannot read bills from the log: " << page.error().detail << "\n";
             return false;
         }
-        reader.take(page->records);
-        const auto compared = reader.compare(results.answered_ids());
-        const auto is_complete = compared.missing == 0 && reader.offset() >= page->head;
+        reader.add_records(page->records);
+        const auto comparison = reader.compare(results.answered_ids());
+        const auto is_complete = comparison.missing == 0 && reader.offset() >= page->head;
         if (is_complete || daemon::boot_time() >= end) {
-            results.add_bills(compared);
+            results.add_bills(comparison);
             return true;
         }
     }
 }
 
-auto write_report(const load::load_settings& wanted, const load::report& results) -> void
+auto write_report(const load::load_settings& run_settings, const load::report& results) -> void
 {
     std::cout << results.to_table();
-    if (!wanted.report.empty()) {
-        std::ofstream(wanted.report) << results.to_json() << "\n";
+    if (!run_settings.report.empty()) {
+        std::ofstream(run_settings.report) << results.to_json() << "\n";
     }
 }
 
-auto run(const load::load_settings& wanted) -> bool
+auto run(const load::load_settings& run_settings) -> bool
 {
     daemon::io_pool pool(1);
     http::client_options options;
     options.idle_connections = idle_connections;
-    options.idle_timeout = std::chrono::milliseconds(wanted.deadline_ms) + grace_after_deadline;
+    options.idle_timeout =
+        std::chrono::milliseconds(run_settings.deadline_ms) + grace_after_deadline;
     const auto client = http::client::create(pool.next_context(), options);
-    load::report results(wanted);
+    load::report results(run_settings);
     load::runner runner(
-        wanted, {daemon::boot_time, daemon::wall_time, pool.timers(), client}, results);
+        run_settings, {daemon::boot_time, daemon::wall_time, pool.timers(), client}, results);
     std::promise<void> ended;
     pool.start();
     pool.post([&] { runner.start([&ended] { ended.set_value(); }); });
     ended.get_future().wait();
-    const auto has_runs = read_service_runs(wanted, client, results);
-    const auto has_bills = read_bills(wanted, client, results);
+    const auto has_run_counts = read_service_runs(run_settings, client, results);
+    const auto has_bills = read_bills(run_settings, client, results);
     pool.stop();
-    write_report(wanted, results);
-    return has_runs && has_bills && results.holds();
+    write_report(run_settings, results);
+    return has_run_counts && has_bills && results.all_checks_hold();
 }
 
 } // namespace
 
 auto main(int argument_count, char** arguments) -> int
 {
-    const auto given = daemon::read_tool_command_line(
-        "Open-loop load against entries, with checks", argument_count, arguments);
-    daemon::start_logging(arguments[0], daemon::parse_log_level(given.log_level));
-    const auto wanted = load::parse_settings(daemon::read_file(given.settings_file));
-    if (!wanted) {
-        for (const auto& problem : wanted.error()) {
+    const auto command_line = daemon::read_tool_command_line(
+        "Sends open-loop load to entries and checks the answers", argument_count, arguments);
+    daemon::start_logging(arguments[0], daemon::parse_log_level(command_line.log_level));
+    const auto run_settings = load::parse_settings(daemon::read_file(command_line.settings_file));
+    if (!run_settings) {
+        for (const auto& problem : run_settings.error()) {
             std::cerr << settings::to_string(problem) << "\n";
         }
         return static_cast<int>(daemon::exit_code::bad_settings);
     }
-    if (given.check_only) {
+    if (command_line.check_only) {
         return static_cast<int>(daemon::exit_code::success);
     }
-    const auto holds = run(*wanted);
+    const auto holds = run(*run_settings);
     return static_cast<int>(holds ? daemon::exit_code::success : daemon::exit_code::failure);
 }
--- a/source/load/report.cpp
+++ b/source/load/report.cpp
@@ -38,12 +38,13 @@
     return "lost";
 }
 
-/// "answered", "refused no_capacity (not_run)", "wrong foreign_answer".
+/// Name of a result in the report, such as "answered", "refused no_capacity (not_run)" or
+/// "wrong foreign_answer".
 auto result_name(const answer_verdict& verdict) -> std::string
 {
     auto name = state_name(verdict.state);
-    if (!verdict.why.empty()) {
-        name += " " + verdict.why;
+    if (!verdict.reason.empty()) {
+        name += " " + verdict.reason;
     }
     if (!verdict.execution.empty()) {
         name += " (" + verdict.execution + ")";
@@ -51,31 +52,31 @@
     return name;
 }
 
-auto quantiles_of(const metrics::histogram& from) -> boost::json::object
+auto quantiles_json(const metrics::histogram& from) -> boost::json::object
 {
     const auto read = from.read();
-    boost::json::object made{{"count", read.count}};
+    boost::json::object result{{"count", read.count}};
     for (std::size_t index = 0; index < quantiles.size(); ++index) {
-        made[quantile_names[index]] = read.quantile(quantiles[index]) / us_per_ms;
+        result[quantile_names[index]] = read.quantile(quantiles[index]) / us_per_ms;
     }
-    return made;
+    return result;
 }
 
-auto counts_of(const std::map<std::string, std::uint64_t>& counts) -> boost::json::object
+auto counts_json(const std::map<std::string, std::uint64_t>& counts) -> boost::json::object
 {
-    boost::json::object made;
+    boost::json::object result;
     for (const auto& [name, count] : counts) {
-        made[name] = count;
+        result[name] = count;
     }
-    return made;
+    return result;
 }
 
-/// One aligned line of the table.
+/// Formats one aligned line of the table.
 template <typename... Values>
 auto format_line(const char* format, Values... values) -> std::string
 {
-    constexpr std::size_t longest_line = 256;
-    std::array<char, longest_line> line{};
+    constexpr std::size_t max_line_bytes = 256;
+    std::array<char, max_line_bytes> line{};
     std::snprintf(line.data(), line.size(), format, values...);
     return line.data();
 }
@@ -98,13 +99,13 @@
 {
     const auto& verdict = outcome.verdict;
     const auto name = result_name(verdict);
-    auto& summary = this->summary_of(outcome.kind);
+    auto& summary = this->summary_for(outcome.kind);
     ++this->requests;
     ++this->results[name];
     ++this->states[verdict.state];
     ++summary.results[name];
     this->add_version(outcome);
-    this->add_once(outcome);
+    this->add_at_most_once_body(outcome);
     if (verdict.state != answer_state::answered) {
         return;
     }
@@ -122,39 +123,40 @@
     if (outcome.verdict.version.empty()) {
         return;
     }
-    const auto [place, is_new] = this->versions.try_emplace(outcome.verdict.version);
-    auto& summary = place->second;
+    const auto [position, is_new] = this->versions.try_emplace(outcome.verdict.version);
+    auto& summary = position->second;
     ++summary.answers;
-    summary.bad += outcome.verdict.is_bad ? 1 : 0;
+    summary.bad += outcome.verdict.is_from_faulty_engine ? 1 : 0;
     summary.first_started =
         is_new ? outcome.started : std::min(summary.first_started, outcome.started);
     summary.last_started = std::max(summary.last_started, outcome.started);
 }
 
-auto report::add_once(const request_outcome& outcome) -> void
+auto report::add_at_most_once_body(const request_outcome& outcome) -> void
 {
-    if (outcome.once_body.empty()) {
+    if (outcome.at_most_once_body.empty()) {
         return;
     }
-    this->once_bodies.insert(outcome.once_body);
+    this->at_most_once_bodies.insert(outcome.at_most_once_body);
     if (outcome.verdict.state == answer_state::answered) {
-        this->answered_bodies.insert(outcome.once_body);
+        this->answered_bodies.insert(outcome.at_most_once_body);
     }
-    // Only of a first try: a later one says nothing about what an earlier one, lost, has done.
+    // Only for a first attempt: the refusal of a retry does not exclude that an earlier attempt
+    // ran.
     if (outcome.verdict.execution == "not_run" && outcome.tries == 1) {
-        this->not_run_bodies.insert(outcome.once_body);
+        this->not_run_bodies.insert(outcome.at_most_once_body);
     }
 }
 
 auto report::add_service_runs(const run_counts& runs) -> void
 {
-    this->has_runs = true;
+    this->has_run_counts = true;
     const auto count_of = [&runs](const std::string& body) {
         const auto found = runs.find(body);
         return found == runs.end() ? 0 : found->second;
     };
-    for (const auto& body : this->once_bodies) {
-        this->doubled_runs += count_of(body) > 1 ? 1 : 0;
+    for (const auto& body : this->at_most_once_bodies) {
+        this->repeated_runs += count_of(body) > 1 ? 1 : 0;
     }
     for (const auto& body : this->not_run_bodies) {
         this->false_not_run += count_of(body) > 0 ? 1 : 0;
@@ -164,12 +166,12 @@
     }
 }
 
-auto report::add_bills(const bill_comparison& compared) -> void
+auto report::add_bills(const bill_comparison& comparison) -> void
 {
-    this->bills = compared;
+    this->bills = comparison;
 }
 
-auto report::summary_of(const std::string& kind) -> kind_summary&
+auto report::summary_for(const std::string& kind) -> kind_summary&
 {
     auto& summary = this->kinds[kind];
     if (!summary.total_us) {
@@ -187,8 +189,8 @@
 
 auto report::checks() const -> std::vector<check_result>
 {
-    const auto& wanted = this->settings.checks;
-    std::vector<check_result> made;
+    const auto& run_settings = this->settings.checks;
+    std::vector<check_result> result;
     const auto answers = this->count_state(answer_state::answered);
     const auto broken = this->count_state(answer_state::broken);
     const auto lost = this->count_state(answer_state::lost);
@@ -196,51 +198,54 @@
     const auto share = this->requests == 0 ? 0.0
                                            : whole_permille * static_cast<double>(answers) /
                                                  static_cast<double>(this->requests);
-    made.push_back({"no wrong answer", wrong == 0, std::to_string(wrong)});
-    made.push_back({"broken streams", broken <= wanted.allowed_broken, std::to_string(broken)});
-    made.push_back({"lost requests", lost <= wanted.allowed_lost, std::to_string(lost)});
-    made.push_back(
+    result.push_back({"no wrong answer", wrong == 0, std::to_string(wrong)});
+    result.push_back(
+        {"broken streams", broken <= run_settings.allowed_broken, std::to_string(broken)});
+    result.push_back({"lost requests", lost <= run_settings.allowed_lost, std::to_string(lost)});
+    result.push_back(
         {"answered permille",
-         share >= wanted.smallest_answered_permille,
+         share >= run_settings.smallest_answered_permille,
          format_line("%.1f", share)});
-    if (wanted.largest_p99_ms != 0) {
+    if (run_settings.largest_p99_ms != 0) {
         double worst = 0.0;
         for (const auto& [name, summary] : this->kinds) {
             worst = std::max(worst, summary.total_us->read().quantile(0.99) / us_per_ms);
         }
-        made.push_back(
-            {"worst p99 ms", worst <= wanted.largest_p99_ms, format_line("%.1f", worst)});
+        result.push_back(
+            {"worst p99 ms", worst <= run_settings.largest_p99_ms, format_line("%.1f", worst)});
     }
-    if (this->has_runs) {
-        made.push_back({"no call run twice", doubled_runs == 0, std::to_string(doubled_runs)});
-        made.push_back({"not_run is true", false_not_run == 0, std::to_string(false_not_run)});
-        made.push_back(
+    if (this->has_run_counts) {
+        result.push_back({"no call run twice", repeated_runs == 0, std::to_string(repeated_runs)});
+        result.push_back({"not_run is true", false_not_run == 0, std::to_string(false_not_run)});
+        result.push_back(
             {"answered calls ran",
              answered_without_run == 0,
              std::to_string(answered_without_run)});
     }
-    this->add_bill_checks(made);
-    return made;
+    this->add_bill_checks(result);
+    return result;
 }
 
-auto report::add_bill_checks(std::vector<check_result>& made) const -> void
+auto report::add_bill_checks(std::vector<check_result>& result) const -> void
 {
     if (!this->bills) {
         return;
     }
-    const auto& compared = *this->bills;
-    made.push_back(
+    const auto& comparison = *this->bills;
+    result.push_back(
         {"each answer billed",
-         compared.missing == 0,
-         std::to_string(compared.missing) + " missing"});
-    made.push_back(
-        {"billed tokens right", compared.wrong_tokens == 0, std::to_string(compared.wrong_tokens)});
+         comparison.missing == 0,
+         std::to_string(comparison.missing) + " missing"});
+    result.push_back(
+        {"billed tokens right",
+         comparison.wrong_tokens == 0,
+         std::to_string(comparison.wrong_tokens)});
 }
 
-auto report::holds() const -> bool
+auto report::all_checks_hold() const -> bool
 {
-    const auto made = this->checks();
-    return std::ranges::all_of(made, &check_result::holds);
+    const auto result = this->checks();
+    return std::ranges::all_of(result, &check_result::holds);
 }
 
 auto report::to_json() const -> std::string
@@ -248,9 +253,9 @@
     boost::json::object kinds_json;
     for (const auto& [name, summary] : this->kinds) {
         kinds_json[name] = boost::json::object{
-            {"results", counts_of(summary.results)},
-            {"total", quantiles_of(*summary.total_us)},
-            {"first_token", quantiles_of(*summary.first_us)},
+            {"results", counts_json(summary.results)},
+            {"total", quantiles_json(*summary.total_us)},
+            {"first_token", quantiles_json(*summary.first_us)},
         };
     }
     boost::json::object versions_json;
@@ -267,17 +272,17 @@
         checks_json.emplace_back(boost::json::object{
             {"name", check.name}, {"holds", check.holds}, {"detail", check.detail}});
     }
-    boost::json::object made{
+    boost::json::object result{
         {"requests", this->requests},
-        {"results", counts_of(this->results)},
-        {"retries", counts_of(this->retries)},
+        {"results", counts_json(this->results)},
+        {"retries", counts_json(this->retries)},
         {"kinds", std::move(kinds_json)},
         {"versions", std::move(versions_json)},
         {"checks", std::move(checks_json)},
-        {"holds", this->holds()},
+        {"holds", this->all_checks_hold()},
     };
     if (this->bills) {
-        made["bills"] = boost::json::object{
+        result["bills"] = boost::json::object{
             {"answered", this->bills->answered},
             {"bills", this->bills->bills},
             {"missing", this->bills->missing},
@@ -286,7 +291,7 @@
             {"cost_micro", this->bills->cost_micro},
         };
     }
-    return boost::json::serialize(made);
+    return boost::json::serialize(result);
 }
 
 auto report::to_table() const -> std::string
--- a/source/unit_tests/load/answer_check_test.cpp
+++ b/source/unit_tests/load/answer_check_test.cpp
@@ -5,9 +5,9 @@
 
 #include "answer.hpp"
 #include "answer_check.hpp"
-#include "arrivals.hpp"
+#include "arrival_generator.hpp"
+#include "bill_reader.hpp"
 #include "billing/codec.hpp"
-#include "comparison.hpp"
 #include "report.hpp"
 
 using namespace reedramp;
@@ -17,7 +17,7 @@
 
 constexpr auto prompt = "hello\n";
 
-/// " t0@v1/<hash of the prompt> t1 t2"
+/// A correct answer: " t0@v1/<hash of the prompt> t1 t2".
 auto good_text() -> std::string
 {
     const standin::answer_plan plan{"v1", standin::hash_prompt(prompt), 3, false};
@@ -45,27 +45,27 @@
     std::uint16_t status;
     std::string body;
     answer_state state;
-    std::string why;
+    std::string reason;
 };
 
 auto bill(std::uint64_t request, std::vector<std::uint64_t> tokens) -> messages::bill
 {
-    messages::bill made;
-    made.request = {0, request};
-    made.organisation = common::organisation_id{"o1"};
+    messages::bill result;
+    result.request = {0, request};
+    result.organisation = common::organisation_id{"o1"};
     for (const auto count : tokens) {
         messages::bill_line line;
         line.version = common::version_id{"v1"};
         line.used.completion_tokens = common::token_count{count};
         line.cost = common::micro_money{5};
-        made.lines.push_back(line);
+        result.lines.push_back(line);
     }
-    return made;
+    return result;
 }
 
 } // namespace
 
-TEST_CASE("A chat answer passes only if it is whole, in order and the caller's own")
+TEST_CASE("A chat answer is accepted only if it is complete, in order and matches the prompt")
 {
     const auto text = good_text();
     const auto rest = text.substr(text.find(" t1"));
@@ -128,20 +128,20 @@
         const http::response answer{row.status, {{"Reedramp-Version", "v1"}}, row.body};
         const auto verdict = load::check_chat(answer, {prompt, 3, row.stream, {}});
         CHECK(verdict.state == row.state);
-        CHECK(verdict.why == row.why);
+        CHECK(verdict.reason == row.reason);
     }
     const http::response answer{200, {}, whole(text, 3)};
-    CHECK(load::check_chat(answer, {prompt, 3, false, "v9"}).why == "session_moved");
+    CHECK(load::check_chat(answer, {prompt, 3, false, "v9"}).reason == "session_moved");
 }
 
-TEST_CASE("Bills count once by request, and each answer needs one with its tokens")
+TEST_CASE("A request is billed once, and each answer requires a bill with its tokens")
 {
-    // A collector appends a batch again when the answer of its first append was lost, so the same
-    // bill stands in the log twice; that is no double bill.
+    // A batch is appended again when the answer to its first append was lost. The log then contains
+    // the same bill twice, which must not count as two bills.
     load::bill_reader reader;
     const billing::batch first{{1, 1}, {bill(1, {10}), bill(2, {7, 3}), bill(9, {1})}};
     const auto data = billing::serialise(first);
-    reader.take({{common::log_offset{1}, data}, {common::log_offset{2}, data}});
+    reader.add_records({{common::log_offset{1}, data}, {common::log_offset{2}, data}});
     CHECK(reader.offset() == common::log_offset{2});
     const auto id = [](std::uint64_t low) {
         return common::to_string(common::request_id{0, low});
@@ -157,7 +157,7 @@
     CHECK(wrong.wrong_tokens == 1);
 }
 
-TEST_CASE("A call that ran twice, or ran although refused, fails the run")
+TEST_CASE("A call that ran twice, or ran although it was refused, fails the run")
 {
     struct runs_case {
         std::string name;
@@ -166,7 +166,7 @@
         bool holds;
     };
 
-    // "not_run" is a promise; a body that a service has run breaks it.
+    // A refusal with "not_run" guarantees that no service has run the body.
     const std::vector<runs_case> table{
         {"once", R"({"bodies":[{"key":"b","runs":1}]})", "", true},
         {"twice", R"({"bodies":[{"key":"b","runs":2}]})", "", false},
@@ -179,7 +179,7 @@
         load::report results{load::load_settings{}};
         load::request_outcome outcome;
         outcome.kind = "notes";
-        outcome.once_body = "b";
+        outcome.at_most_once_body = "b";
         outcome.verdict.execution = row.execution;
         outcome.verdict.state =
             row.execution.empty() ? answer_state::answered : answer_state::refused;
@@ -187,19 +187,19 @@
         load::run_counts runs;
         REQUIRE(load::add_run_bodies(row.runs, runs));
         results.add_service_runs(runs);
-        CHECK(results.holds() == row.holds);
+        CHECK(results.all_checks_hold() == row.holds);
     }
 }
 
-TEST_CASE("Arrivals repeat with the seed and keep their rate and mix")
+TEST_CASE("Arrivals are reproducible with the same seed, and follow the rate and the mix")
 {
-    load::load_settings given;
-    given.rate_per_second = 1000.0;
-    given.organisations.resize(1);
-    given.mix.resize(2);
-    given.mix[1].weight = 3;
-    load::arrivals first(given);
-    load::arrivals second(given);
+    load::load_settings run_settings;
+    run_settings.rate_per_second = 1000.0;
+    run_settings.organisations.resize(1);
+    run_settings.mix.resize(2);
+    run_settings.mix[1].weight = 3;
+    load::arrival_generator first(run_settings);
+    load::arrival_generator second(run_settings);
     load::arrival last;
     std::size_t heavy = 0;
     constexpr std::size_t count = 10000;
@@ -214,7 +214,7 @@
     CHECK(heavy < 7700);
 }
 
-TEST_CASE("Load settings list all their problems with the path")
+TEST_CASE("Invalid load settings give all problems with their paths")
 {
     const auto parsed = load::parse_settings(
         R"({"targets":["nowhere"],"mix":[{"kind":"service","weight":0}],"log":"x","oops":1})");
