--- a/source/ctl/admin_client.cpp
+++ b/source/ctl/admin_client.cpp
@@ -37,11 +37,11 @@
 auto make_client(daemon::io_pool& pool, std::chrono::milliseconds timeout)
     -> std::shared_ptr<http::client>
 {
-    http::client_options wanted;
-    wanted.idle_connections = 0;
-    wanted.idle_timeout = timeout;
-    wanted.body_limit_bytes = state_limit_bytes;
-    return http::client::create(pool.next_context(), wanted);
+    http::client_options options;
+    options.idle_connections = 0;
+    options.idle_timeout = timeout;
+    options.body_limit_bytes = state_limit_bytes;
+    return http::client::create(pool.next_context(), options);
 }
 
 } // namespace
--- a/source/unit_tests/operators/publish_test.cpp
+++ b/source/unit_tests/operators/publish_test.cpp
@@ -15,13 +15,13 @@
 enum class entry_fault {
     none,
     /// Connections are refused.
-    gone,
+    unreachable,
     /// Appends the record to the log, and the connection is lost before the answer.
     lost_answer,
     /// The connection is lost before the record reaches the log. The operator cannot distinguish
     /// this from `lost_answer`.
     lost_request,
-    log_down,
+    log_unreachable,
     refuses,
 };
 
@@ -34,7 +34,7 @@
     auto answer(std::size_t entry, const http::request& request) -> common::result<std::string>
     {
         const auto fault = this->faults.at(entry);
-        if (fault == entry_fault::gone) {
+        if (fault == entry_fault::unreachable) {
             return fail(result_code::peer_unavailable, execution::not_run);
         }
         return request.method == "GET" ? this->history(fault) : this->publish(fault);
@@ -54,7 +54,7 @@
         switch (fault) {
         case entry_fault::lost_request:
             return fail(result_code::peer_unavailable, execution::unknown);
-        case entry_fault::log_down:
+        case entry_fault::log_unreachable:
             return fail(result_code::log_unavailable, execution::not_run);
         case entry_fault::refuses:
             return fail(result_code::conflict, execution::not_run);
@@ -91,22 +91,34 @@
     using enum entry_fault;
     const std::vector<row> rows = {
         {"no faults", {none, none}, result_code::ok, 1, 0},
-        {"first gone", {gone, none}, result_code::ok, 1, 0},
+        {"first unreachable", {unreachable, none}, result_code::ok, 1, 0},
         {"answer lost, the next one has it in its history",
          {lost_answer, none},
          result_code::ok,
          1,
          0},
         {"request lost, the next one sends it", {lost_request, none}, result_code::ok, 1, 0},
-        {"answer lost, the next one gone", {lost_answer, gone, none}, result_code::ok, 1, 0},
-        {"answer lost, log then down", {lost_answer, log_down}, result_code::ok, 1, 0},
-        {"first cannot reach the log", {log_down, none}, result_code::ok, 1, 0},
-        {"log down for all", {log_down, log_down}, result_code::log_unavailable, 0, 2},
-        {"all gone", {gone, gone}, result_code::peer_unavailable, 0, 2},
+        {"answer lost, the next one unreachable",
+         {lost_answer, unreachable, none},
+         result_code::ok,
+         1,
+         0},
+        {"answer lost, log then down", {lost_answer, log_unreachable}, result_code::ok, 1, 0},
+        {"first cannot reach the log", {log_unreachable, none}, result_code::ok, 1, 0},
+        {"log down for all",
+         {log_unreachable, log_unreachable},
+         result_code::log_unavailable,
+         0,
+         2},
+        {"all unreachable", {unreachable, unreachable}, result_code::peer_unavailable, 0, 2},
         {"only entry loses answers", {lost_answer}, result_code::append_unknown, 3, 2},
-        {"request lost, then all gone", {lost_request, gone}, result_code::append_unknown, 0, 2},
+        {"request lost, then all unreachable",
+         {lost_request, unreachable},
+         result_code::append_unknown,
+         0,
+         2},
         {"refused", {refuses, none}, result_code::conflict, 0, 0},
-        {"first gone, then refused", {gone, refuses}, result_code::conflict, 0, 0},
+        {"first unreachable, then refused", {unreachable, refuses}, result_code::conflict, 0, 0},
         {"no entry", {}, result_code::peer_unavailable, 0, 0},
     };
     inventory::record item;
--- a/source/unit_tests/operators/revision_watch_test.cpp
+++ b/source/unit_tests/operators/revision_watch_test.cpp
@@ -124,7 +124,7 @@
     const auto agent = host("host-a", host_role::server);
     const std::vector<row> rows = {
         {"still not answering", {entry, agent}, 2, 1, result_code::peer_unavailable},
-        {"gone", {entry}, 1, 1, result_code::ok},
+        {"removed", {entry}, 1, 1, result_code::ok},
         {"leaving", {entry, leaving}, 1, 1, result_code::ok},
         {"the other was replaced",
          {host("entry-1", host_role::entry, "127.0.0.1:9")},
