--- a/source/core/router/crash_broadcaster.cpp
+++ b/source/core/router/crash_broadcaster.cpp
@@ -31,10 +31,10 @@
 } // namespace
 
 crash_broadcaster::crash_broadcaster(
-    std::shared_ptr<router_core> core_to_tell_of,
+    std::shared_ptr<router_core> core_to_use,
     common::host_id own_host,
     crash_broadcaster_hooks hooks_to_use)
-    : core(std::move(core_to_tell_of)), self(std::move(own_host)), hooks(std::move(hooks_to_use))
+    : core(std::move(core_to_use)), self(std::move(own_host)), hooks(std::move(hooks_to_use))
 {
 }
 
--- a/source/core/router/list_broadcaster.cpp
+++ b/source/core/router/list_broadcaster.cpp
@@ -71,8 +71,8 @@
 
 auto list_broadcaster::forward(const list_update& received, const update_recipients& to) -> void
 {
-    const bool is_from_afar = received.data_centre != this->core->options.data_centre;
-    if (!is_from_afar || !to.forwards_updates) {
+    const bool is_from_other_data_centre = received.data_centre != this->core->options.data_centre;
+    if (!is_from_other_data_centre || !to.forwards_updates) {
         return;
     }
     // Carries this entry's address, so that receivers ask this entry for missing changes instead of
--- a/source/core/router/message_bytes.hpp
+++ b/source/core/router/message_bytes.hpp
@@ -30,9 +30,9 @@
 auto copy_aligned(std::string_view bytes) -> std::vector<capnp::word>;
 
 /// Calls `read` with the root of an unpacked message. Returns false if `bytes` is not a valid
-/// message, or if reading it exceeds the traversal limit of `most_words`.
+/// message, or if reading it exceeds the traversal limit of `max_words`.
 template <typename Schema, typename Read>
-auto read_flat(std::string_view bytes, std::uint64_t most_words, Read read) -> bool
+auto read_flat(std::string_view bytes, std::uint64_t max_words, Read read) -> bool
 {
     const auto aligned = copy_aligned(bytes);
     if (aligned.empty()) {
@@ -40,7 +40,7 @@
     }
     const auto problem = kj::runCatchingExceptions([&] {
         capnp::ReaderOptions limits;
-        limits.traversalLimitInWords = most_words;
+        limits.traversalLimitInWords = max_words;
         capnp::FlatArrayMessageReader reader(
             kj::ArrayPtr<const capnp::word>(aligned.data(), aligned.size()), limits);
         read(reader.getRoot<Schema>());
--- a/source/core/router/peer_report.cpp
+++ b/source/core/router/peer_report.cpp
@@ -325,7 +325,7 @@
     return serialise_flat(message);
 }
 
-auto decode_peer_words(std::string_view bytes) -> common::result<peer_report>
+auto decode_peer_report(std::string_view bytes) -> common::result<peer_report>
 {
     peer_report report;
     const bool is_read = read_flat<schema::Words>(
--- a/source/core/router/peer_report.hpp
+++ b/source/core/router/peer_report.hpp
@@ -56,6 +56,6 @@
 auto encode(const peer_report& report) -> std::string;
 
 /// Error `malformed_request` if `bytes` is not a valid report.
-auto decode_peer_words(std::string_view bytes) -> common::result<peer_report>;
+auto decode_peer_report(std::string_view bytes) -> common::result<peer_report>;
 
 } // namespace reedramp::router
--- a/source/core/router/relay.cpp
+++ b/source/core/router/relay.cpp
@@ -96,7 +96,7 @@
     next->call = this->core->client->send(
         *where,
         make_server_request(
-            this->request.original, this->core->options.names, this->our_headers(server)),
+            this->request.original, this->core->options.names, this->make_forward_headers(server)),
         {.on_head = [keep, next](const http::response& head) { keep->on_head(next, head); },
          .on_chunk = [keep, next](std::string bytes) { keep->on_bytes(next, std::move(bytes)); },
          .on_done =
@@ -131,7 +131,7 @@
     return next;
 }
 
-auto relay::our_headers(const routing::registration& server) const -> forward_headers
+auto relay::make_forward_headers(const routing::registration& server) const -> forward_headers
 {
     const auto* owner = this->request.owner;
     return {
@@ -246,8 +246,8 @@
     if (this->is_streaming) {
         this->out->abort();
     }
-    else if (this->failure_to_pass) {
-        this->out->send(std::move(*this->failure_to_pass));
+    else if (this->failure_response) {
+        this->out->send(std::move(*this->failure_response));
     }
     else {
         this->out->send(make_own_response(common::make_error(why), this->retry_after()));
--- a/source/core/router/relay.hpp
+++ b/source/core/router/relay.hpp
@@ -146,7 +146,8 @@
     auto send_to(const routing::registration& server) -> void;
     /// Creates the attempt, and records the send to `server` in all trackers.
     auto begin_attempt(const routing::registration& server) -> std::shared_ptr<attempt>;
-    [[nodiscard]] auto our_headers(const routing::registration& server) const -> forward_headers;
+    [[nodiscard]] auto make_forward_headers(const routing::registration& server) const
+        -> forward_headers;
     [[nodiscard]] auto make_placement_request() const -> routing::placement_request;
 
     /// Work of a request for the service's servers, in the unit of `load_tracker`.
@@ -238,7 +239,7 @@
     std::vector<routing::server_instance> tried;
     routing::attempt_ledger ledger;
     /// A server's failure response, which the caller gets if no later attempt succeeds.
-    std::optional<http::response> failure_to_pass;
+    std::optional<http::response> failure_response;
     /// The head of a stream was sent to the caller.
     bool is_streaming = false;
     /// Time from the request to the first forwarded event; 0 without one.
--- a/source/core/router/relay_answers.cpp
+++ b/source/core/router/relay_answers.cpp
@@ -74,7 +74,7 @@
         this->core->speeds[this->service].note(of->server, took, of->work_ahead);
     }
     if (is_own && head.status != misdirected) {
-        of->directives = read_server_words(head, this->core->options.names);
+        of->directives = read_server_directives(head, this->core->options.names);
         this->apply_directives(*of);
     }
     of->head = make_caller_response(head);
@@ -283,7 +283,7 @@
         this->log_answer(*of, "server failed");
         this->end_attempt(of, attempt_end::ran, server_outcome::failed);
         of->head.body = std::move(of->body);
-        this->failure_to_pass = std::move(of->head);
+        this->failure_response = std::move(of->head);
         this->retry(result_code::server_failed);
         return;
     case verdict::none:
--- a/source/core/router/server_directives.cpp
+++ b/source/core/router/server_directives.cpp
@@ -15,8 +15,8 @@
 {
     double value = 0.0;
     const auto* end = text.data() + text.size();
-    const auto [backoff, problem] = std::from_chars(text.data(), end, value);
-    const bool is_number = problem == std::errc{} && backoff == end;
+    const auto [unparsed, problem] = std::from_chars(text.data(), end, value);
+    const bool is_number = problem == std::errc{} && unparsed == end;
     return is_number && std::isfinite(value) && value >= 0.0 ? std::optional{value} : std::nullopt;
 }
 
@@ -61,7 +61,8 @@
 
 } // namespace
 
-auto read_server_words(const http::response& head, const header_names& names) -> server_directives
+auto read_server_directives(const http::response& head, const header_names& names)
+    -> server_directives
 {
     server_directives directives;
     for (const auto& one : head.headers) {
--- a/source/core/router/server_directives.hpp
+++ b/source/core/router/server_directives.hpp
@@ -21,6 +21,7 @@
     bool is_leaving = false;
 };
 
-auto read_server_words(const http::response& head, const header_names& names) -> server_directives;
+auto read_server_directives(const http::response& head, const header_names& names)
+    -> server_directives;
 
 } // namespace reedramp::router
--- a/source/router/peer_group.cpp
+++ b/source/router/peer_group.cpp
@@ -49,7 +49,7 @@
 constexpr common::duration restart_time = std::chrono::seconds{2};
 /// A peer that has been silent for this long is removed; if it is alive, its next report adds it
 /// again.
-constexpr common::duration forgotten_after = std::chrono::seconds{20};
+constexpr common::duration removal_silence = std::chrono::seconds{20};
 
 /// Name under which a process' evidence about versions is kept. The evidence stays valid after the
 /// process ends. Under the host name alone, the next process' empty report would replace it: after
@@ -63,19 +63,19 @@
 } // namespace
 
 peer_group::peer_group(
-    std::shared_ptr<router::router_core> core_to_tell_of,
+    std::shared_ptr<router::router_core> core_to_use,
     common::host_id own_host,
     http::endpoint address,
-    std::chrono::milliseconds tell_period,
+    std::chrono::milliseconds report_period,
     send_hook send_datagram,
     newer_rules_hook newer_rules,
     newer_list_hook newer_list)
-    : core(std::move(core_to_tell_of)), self(std::move(own_host)),
+    : core(std::move(core_to_use)), self(std::move(own_host)),
       own_data_centre(router::data_centre_hash(this->core->options.data_centre)),
       process(this->core->hooks.random()), own_address(std::move(address)),
       send(std::move(send_datagram)), on_newer_rules(std::move(newer_rules)),
       on_newer_list(std::move(newer_list)), started(this->core->hooks.clock()),
-      sent_revisions(this->current_revisions()), period(tell_period)
+      sent_revisions(this->current_revisions()), period(report_period)
 {
 }
 
@@ -136,7 +136,7 @@
     this->broadcast_urgent();
     const auto now = this->core->hooks.clock();
     std::erase_if(this->peers, [now](const auto& item) {
-        return now - item.second.last_heard > forgotten_after;
+        return now - item.second.last_heard > removal_silence;
     });
     const auto bytes = router::encode(this->make_report(now, max_named_peers));
     const auto count = this->recipient_count(now);
@@ -151,7 +151,7 @@
     }
 }
 
-auto peer_group::random_live_peers(std::size_t most) const -> std::vector<std::string>
+auto peer_group::random_live_peers(std::size_t max_count) const -> std::vector<std::string>
 {
     std::vector<std::string> names;
     if (this->peers.empty()) {
@@ -160,7 +160,7 @@
     const auto now = this->core->hooks.clock();
     const auto skipped = this->core->hooks.random() % this->peers.size();
     auto next = std::next(this->peers.begin(), static_cast<std::ptrdiff_t>(skipped));
-    for (std::size_t i = 0; i < this->peers.size() && names.size() < most; ++i) {
+    for (std::size_t i = 0; i < this->peers.size() && names.size() < max_count; ++i) {
         if (this->is_alive(next->second, now)) {
             names.push_back(http::to_string(next->first));
         }
@@ -223,7 +223,7 @@
 
 auto peer_group::receive(std::string_view bytes) -> void
 {
-    auto report = router::decode_peer_words(bytes);
+    auto report = router::decode_peer_report(bytes);
     const auto from = report ? http::parse_endpoint(report->address) : std::nullopt;
     if (!from || *from == this->own_address) {
         return;
--- a/source/router/peer_group.hpp
+++ b/source/router/peer_group.hpp
@@ -116,7 +116,7 @@
 
     /// Addresses of live peers, starting at a random one. If each message named the same first few,
     /// entries that started together would never learn of most others.
-    [[nodiscard]] auto random_live_peers(std::size_t most) const -> std::vector<std::string>;
+    [[nodiscard]] auto random_live_peers(std::size_t max_count) const -> std::vector<std::string>;
     [[nodiscard]] auto current_revisions() const -> urgent_revisions;
     /// How many peers get this report.
     [[nodiscard]] auto recipient_count(common::time_point now) const -> std::size_t;
--- a/source/unit_tests/router/cold_test.cpp
+++ b/source/unit_tests/router/cold_test.cpp
@@ -33,7 +33,7 @@
     }
 
     /// Sends requests of `count` callers at once.
-    auto ask_often(int count) -> std::vector<std::shared_ptr<caller>>
+    auto send_requests(int count) -> std::vector<std::shared_ptr<caller>>
     {
         std::vector<std::shared_ptr<caller>> callers;
         for (int i = 0; i < count; ++i) {
@@ -55,7 +55,7 @@
 TEST_CASE("with all servers cold a request waits for a send slot for a limited time", "[cold]")
 {
     cold_fixture fixture{1};
-    const auto callers = fixture.ask_often(20);
+    const auto callers = fixture.send_requests(20);
     const auto at_once = fixture.sends();
     fixture.advance(milliseconds{500});
     // A quarter of 12 requests per second, at each of three servers.
@@ -94,7 +94,7 @@
         fixture.advance(milliseconds{10});
     }
     // All send slots are used meanwhile.
-    fixture.ask_often(20);
+    fixture.send_requests(20);
     auto& first = *fixture.client->sent.front();
     const auto sends = fixture.sends();
     first.head(200, {{"Reedramp-Confidence", "1"}});
@@ -108,7 +108,7 @@
 TEST_CASE("a request is not sent if its caller leaves while it waits for a send slot", "[cold]")
 {
     cold_fixture fixture{1};
-    const auto callers = fixture.ask_often(20);
+    const auto callers = fixture.send_requests(20);
     const auto before = fixture.sends();
     for (const auto& one : callers) {
         one->leave_action();
@@ -122,7 +122,7 @@
     cold_fixture fixture{390};
     auto rules = rules_of(3);
     fixture.core->apply_rules(std::move(rules));
-    fixture.ask_often(20);
+    fixture.send_requests(20);
     CHECK(fixture.sends() == 20);
 }
 
--- a/source/unit_tests/router/crash_simulation.cpp
+++ b/source/unit_tests/router/crash_simulation.cpp
@@ -9,9 +9,9 @@
 
 constexpr milliseconds step{10};
 /// Time from the arrival of a request until the server that it crashes is gone.
-constexpr milliseconds ends_after{60};
+constexpr milliseconds crash_delay{60};
 constexpr milliseconds shortest_answer{100};
-constexpr std::int64_t longest_more_ms = 900;
+constexpr std::int64_t max_extra_answer_ms = 900;
 /// A crashed server's registration lapses at the store, and a replacement starts.
 constexpr milliseconds registration_lapses{3600};
 constexpr milliseconds restarts_after{3000};
@@ -94,13 +94,14 @@
             const auto server = call->header("Reedramp-Expect-Server");
             this->sends.push_back(
                 {this->now(), i, server, call->header("Reedramp-Attempt-Id"), call->request.body});
-            const bool ends = call->request.body.starts_with(crash_mark);
-            const milliseconds more{static_cast<std::int64_t>(this->random() % longest_more_ms)};
+            const bool crashes = call->request.body.starts_with(crash_mark);
+            const milliseconds extra{
+                static_cast<std::int64_t>(this->random() % max_extra_answer_ms)};
             this->in_flight.push_back(
                 {call,
                  server,
                  call->request.body,
-                 this->now() + (ends ? ends_after : shortest_answer + more)});
+                 this->now() + (crashes ? crash_delay : shortest_answer + extra)});
         }
     }
 }
@@ -194,7 +195,7 @@
 
 auto crash_simulation::note_barred() -> void
 {
-    for (const auto& [body, ends] : this->crashes_by_body) {
+    for (const auto& [body, crashes] : this->crashes_by_body) {
         const bool is_known = std::ranges::all_of(this->fleet.entries, [&body](const auto& one) {
             const auto print = routing::print_of({"org", "POST", "h", "/stream/1", body});
             return one->is_dead || one->is_frozen || one->own.core->crashes.is_barred(print);
--- a/source/unit_tests/router/entry_fleet.cpp
+++ b/source/unit_tests/router/entry_fleet.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr milliseconds step_time{10};
-constexpr milliseconds tell_period{100};
+constexpr milliseconds report_period{100};
 /// Transit time of a datagram, and round trip of a call to the store or a neighbour.
 constexpr milliseconds trip{2};
 constexpr milliseconds call_time{6};
@@ -58,7 +58,7 @@
         one.own.core,
         host,
         one.where,
-        tell_period,
+        report_period,
         [this, number](const http::endpoint& to, std::string bytes) {
             this->send(number, to, std::move(bytes));
         },
@@ -445,7 +445,7 @@
         const auto since_start =
             std::chrono::duration_cast<milliseconds>(this->now.time_since_epoch()).count();
         const auto phase = static_cast<std::int64_t>(i % 10) * step_time.count();
-        if ((since_start + phase) % tell_period.count() == 0) {
+        if ((since_start + phase) % report_period.count() == 0) {
             one.crash_updates->tick();
             one.peers->send_reports();
         }
--- a/source/unit_tests/router/peer_report_test.cpp
+++ b/source/unit_tests/router/peer_report_test.cpp
@@ -53,7 +53,7 @@
 TEST_CASE("a decoded report equals the encoded one", "[peer_message]")
 {
     const auto report = full_message();
-    const auto read = decode_peer_words(encode(report));
+    const auto read = decode_peer_report(encode(report));
     REQUIRE(read);
     CHECK(read->host == report.host);
     CHECK(read->address == report.address);
@@ -103,7 +103,7 @@
     auto report = full_message();
     for (const double share : {0.18, 0.117, 0.1, 1.0 / 3.0}) {
         report.rollouts[0].share = share;
-        CHECK(decode_peer_words(encode(report))->rollouts[0].share == share);
+        CHECK(decode_peer_report(encode(report))->rollouts[0].share == share);
     }
 }
 
@@ -113,7 +113,7 @@
     // much memory.
     const auto bytes = encode(full_message());
     for (std::size_t size = 0; size < bytes.size(); size += 8) {
-        CHECK_FALSE(decode_peer_words(bytes.substr(0, size)));
+        CHECK_FALSE(decode_peer_report(bytes.substr(0, size)));
     }
     std::mt19937_64 random{20261202};
     for (int i = 0; i < 5000; ++i) {
@@ -121,7 +121,7 @@
         for (int k = 0; k < 3; ++k) {
             changed[random() % changed.size()] = static_cast<char>(random());
         }
-        const auto read = decode_peer_words(changed);
+        const auto read = decode_peer_report(changed);
         CHECK((!read || read->loads.size() < 10000));
     }
 }
@@ -143,7 +143,7 @@
     for (const auto& bytes : encode_datagrams(update)) {
         CHECK(is_crash_update(bytes));
         CHECK(bytes.size() <= 1400);
-        CHECK(!decode_peer_words(bytes));
+        CHECK(!decode_peer_report(bytes));
         const auto part = decode_crash_news(bytes);
         REQUIRE(part);
         CHECK(part->host == update.host);
--- a/source/unit_tests/router/server_directives_test.cpp
+++ b/source/unit_tests/router/server_directives_test.cpp
@@ -15,7 +15,7 @@
     for (auto& one : limits) {
         head.headers.push_back({"reedramp-server-limit", std::move(one)});
     }
-    return read_server_words(head, header_names{});
+    return read_server_directives(head, header_names{});
 }
 
 } // namespace
@@ -50,7 +50,7 @@
         for (auto& one : values) {
             head.headers.push_back({"retry-after", std::move(one)});
         }
-        return read_server_words(head, header_names{});
+        return read_server_directives(head, header_names{});
     };
     CHECK(backoff_of(503, {"3"}).backoff == std::chrono::seconds{3});
     CHECK(backoff_of(429, {"0.25"}).backoff == std::chrono::milliseconds{250});
