--- a/source/core/router/barred_records.cpp
+++ b/source/core/router/barred_records.cpp
@@ -14,12 +14,14 @@
 /// After a call that failed.
 constexpr std::chrono::milliseconds pause{500};
 
-auto log_record(const std::string& what, routing::request_fingerprint print, bool is_done) -> void
+auto log_record(const std::string& what, routing::request_fingerprint fingerprint, bool is_done)
+    -> void
 {
     common::log(
         common::log_part::place,
         is_done ? common::log_level::info : common::log_level::warning,
-        "barred record " + what + " print=" + to_string(print) + " ok=" + (is_done ? "yes" : "no"));
+        "barred record " + what + " print=" + to_string(fingerprint) +
+            " ok=" + (is_done ? "yes" : "no"));
 }
 
 } // namespace
@@ -55,13 +57,13 @@
     const auto age = static_cast<std::uint64_t>(one.age.count());
     const auto now = this->unix_ms();
     this->store.write_barred(
-        {one.print, now - std::min(age, now)},
+        {one.fingerprint, now - std::min(age, now)},
         [self = this->shared_from_this(),
-         print = one.print](const common::result<stream_position>& written) {
+         fingerprint = one.fingerprint](const common::result<stream_position>& written) {
             self->is_busy = false;
-            log_record("written", print, written.has_value());
+            log_record("written", fingerprint, written.has_value());
             if (written) {
-                self->core->crashes.note_recorded(print);
+                self->core->crashes.note_recorded(fingerprint);
                 return;
             }
             // Done or not: writing it twice changes nothing.
@@ -75,8 +77,8 @@
     for (const auto& one : all) {
         const std::chrono::milliseconds age{
             static_cast<std::int64_t>(today - std::min(one.unix_ms, today))};
-        this->core->hear_barred({one.print, age, age, true}, "store");
-        if (!this->core->crashes.is_barred(one.print) && this->rank() == 0) {
+        this->core->apply_barred({one.fingerprint, age, age, true}, "store");
+        if (!this->core->crashes.is_barred(one.fingerprint) && this->rank() == 0) {
             this->drop(one);
         }
     }
@@ -84,8 +86,8 @@
 
 auto barred_records::drop(const barred_record& one) -> void
 {
-    this->store.drop_barred(one.print, [print = one.print](const auto& dropped) {
-        log_record("dropped", print, dropped.has_value());
+    this->store.drop_barred(one.fingerprint, [fingerprint = one.fingerprint](const auto& dropped) {
+        log_record("dropped", fingerprint, dropped.has_value());
     });
 }
 
--- a/source/core/router/crash_broadcaster.cpp
+++ b/source/core/router/crash_broadcaster.cpp
@@ -77,7 +77,11 @@
 auto crash_broadcaster::barred_news(time_point now) const -> crash_update
 {
     return {
-        this->self, {}, {}, this->core->crashes.tell_barred(most_barred, now), this->core->era()};
+        this->self,
+        {},
+        {},
+        this->core->crashes.make_barred_reports(most_barred, now),
+        this->core->era()};
 }
 
 auto crash_broadcaster::tell_barred(const http::endpoint& to) const -> void
@@ -103,9 +107,9 @@
 
 auto crash_broadcaster::check_doubtful() -> void
 {
-    for (const auto& start : this->core->crashes.take_doubtful()) {
+    for (const auto& start : this->core->crashes.take_unconfirmed()) {
         const auto* known = this->core->servers.find(start.id);
-        if (known == nullptr || known->start() != start) {
+        if (known == nullptr || known->instance() != start) {
             continue;
         }
         this->hooks.check(*known, [weak = this->weak_from_this(), start](bool listens) {
@@ -126,13 +130,13 @@
 auto crash_broadcaster::judge(time_point now) -> void
 {
     bool is_own = false;
-    for (const auto& one : this->core->crashes.judge(now)) {
+    for (const auto& one : this->core->crashes.find_barred(now)) {
         is_own = is_own || one.is_own;
         this->core->counters.barred.add();
         common::log(
             common::log_part::place,
             common::log_level::warning,
-            "request barred print=" + to_string(one.print) + " crashes=" +
+            "request barred print=" + to_string(one.fingerprint) + " crashes=" +
                 std::to_string(one.crashes) + " others=" + std::to_string(one.others));
     }
     if (is_own) {
@@ -147,12 +151,12 @@
         return;
     }
     const auto now = this->core->hooks.clock();
-    this->core->crashes.hear_losses(news->lost, now);
-    this->core->crashes.hear_served(news->served, now);
+    this->core->crashes.apply_losses(news->lost, now);
+    this->core->crashes.apply_served(news->served, now);
     for (auto one : news->barred) {
         // In an era that has ended it was recorded for nothing.
         one.is_recorded = one.is_recorded && news->era == this->core->era();
-        this->core->hear_barred(one, news->host.value());
+        this->core->apply_barred(one, news->host.value());
     }
 }
 
--- a/source/core/router/crash_update.cpp
+++ b/source/core/router/crash_update.cpp
@@ -37,7 +37,7 @@
     const auto lost = part_of(news.lost, number);
     auto losses = root.initLost(static_cast<unsigned>(lost.size()));
     for (unsigned i = 0; i < lost.size(); ++i) {
-        losses[i].setPrint(lost[i].print.value());
+        losses[i].setPrint(lost[i].fingerprint.value());
         losses[i].setServer(lost[i].server);
         losses[i].setAgeMs(told_ms(lost[i].age));
         losses[i].setSentAgeMs(told_ms(lost[i].sent_age));
@@ -45,13 +45,13 @@
     const auto served = part_of(news.served, number);
     auto requests = root.initServed(static_cast<unsigned>(served.size()));
     for (unsigned i = 0; i < served.size(); ++i) {
-        requests[i].setPrint(served[i].print.value());
+        requests[i].setPrint(served[i].fingerprint.value());
         requests[i].setAgeMs(told_ms(served[i].age));
     }
     const auto barred = part_of(news.barred, number);
     auto refused = root.initBarred(static_cast<unsigned>(barred.size()));
     for (unsigned i = 0; i < barred.size(); ++i) {
-        refused[i].setPrint(barred[i].print.value());
+        refused[i].setPrint(barred[i].fingerprint.value());
         refused[i].setAgeMs(told_ms(barred[i].age));
         refused[i].setUnseenMs(told_ms(barred[i].unseen));
         refused[i].setIsRecorded(barred[i].is_recorded);
--- a/source/core/router/evacuations.cpp
+++ b/source/core/router/evacuations.cpp
@@ -14,7 +14,7 @@
 auto router_core::follow_evacuations(
     const std::vector<routing::evacuation_order>& orders, stream_position end) -> void
 {
-    this->on_evacuations(this->evacuations.follow(orders, end), "store");
+    this->on_evacuations(this->evacuations.apply_orders(orders, end), "store");
 }
 
 auto router_core::on_evacuations(
@@ -24,7 +24,7 @@
         return;
     }
     this->evacuation_changes += 1;
-    this->servers.close(this->evacuations.evacuated());
+    this->servers.set_evacuated(this->evacuations.evacuated());
     const auto now = this->hooks.clock();
     const auto log = [&told_by](const char* what, const common::data_centre_id& data_centre) {
         common::log(
@@ -36,10 +36,10 @@
     for (const auto& data_centre : changed.evacuated) {
         log("evacuated", data_centre);
     }
-    for (const auto& data_centre : changed.taken_back) {
+    for (const auto& data_centre : changed.lifted) {
         // Its servers may have started anew while nothing was sent there, and their next word
         // comes a second or two later.
-        this->servers.doubt_warmth(data_centre, now + this->options.warmth_unknown);
+        this->servers.assume_cold(data_centre, now + this->options.warmth_unknown);
         log("taken back", data_centre);
     }
     this->counters.evacuated.set(static_cast<std::int64_t>(this->evacuations.evacuated().size()));
--- a/source/core/router/list_broadcaster.cpp
+++ b/source/core/router/list_broadcaster.cpp
@@ -43,7 +43,7 @@
     news.host = this->self;
     news.address = http::to_string(this->own_address);
     news.data_centre = this->core->options.data_centre;
-    news.freshness = this->core->freshness.tell(this->core->hooks.clock());
+    news.freshness = this->core->freshness.make_report(this->core->hooks.clock());
     news.rules_version = this->core->rules_version();
     news.digest = this->core->servers.digest();
     news.part = std::move(part);
@@ -111,8 +111,8 @@
     if (step == list_step::gap) {
         this->ask(from, this->list->known_to());
     }
-    const bool is_news = this->core->freshness.hear(news.freshness, now);
-    if (is_news) {
+    const bool is_new_reading = this->core->freshness.apply_report(news.freshness, now);
+    if (is_new_reading) {
         this->told_by = news.host.value();
         this->pass_on(news, this->hooks.audience());
     }
@@ -186,7 +186,7 @@
     }
     this->ask_again_at = this->core->hooks.clock();
     this->list->take_over(news->part);
-    if (this->core->freshness.hear(news->freshness, this->core->hooks.clock())) {
+    if (this->core->freshness.apply_report(news->freshness, this->core->hooks.clock())) {
         this->told_by = news->host.value();
     }
 }
--- a/source/core/router/list_update.cpp
+++ b/source/core/router/list_update.cpp
@@ -50,7 +50,7 @@
     to.setSlots(now.slots);
     to.setIsLeaving(now.is_leaving);
     to.setColdMs(told_ms(now.cold_for));
-    to.setBornMs(now.born.value());
+    to.setBornMs(now.started_at.value());
 }
 
 auto read_change(schema::ServerChange::Reader from) -> routing::registration_change
@@ -70,7 +70,7 @@
     now.slots = from.getSlots();
     now.is_leaving = from.getIsLeaving();
     now.cold_for = std::chrono::milliseconds{from.getColdMs()};
-    now.born = routing::start_time{from.getBornMs()};
+    now.started_at = routing::start_time{from.getBornMs()};
     change.now = std::move(now);
     return change;
 }
--- a/source/core/router/peer_message.cpp
+++ b/source/core/router/peer_message.cpp
@@ -31,7 +31,7 @@
         to.set(at++, static_cast<float>(mean.count));
     };
     std::ranges::for_each(from.old_means, add);
-    std::ranges::for_each(from.usual_times, add);
+    std::ranges::for_each(from.baseline_times, add);
 }
 
 auto read_means(capnp::List<float>::Reader from, routing::evidence_report& to) -> void
@@ -45,7 +45,7 @@
         mean = is_sound ? policy::sample_mean{value, count} : policy::sample_mean{};
     };
     std::ranges::for_each(to.old_means, next);
-    std::ranges::for_each(to.usual_times, next);
+    std::ranges::for_each(to.baseline_times, next);
 }
 
 auto read_evidence(schema::RouteEvidence::Reader from) -> std::optional<routing::evidence_report>
--- a/source/core/router/peer_message.hpp
+++ b/source/core/router/peer_message.hpp
@@ -10,7 +10,7 @@
 #include "routing/evacuation_registry.hpp"
 #include "routing/list_freshness.hpp"
 #include "routing/load_tracker.hpp"
-#include "routing/rollout_guide.hpp"
+#include "routing/rollout_manager.hpp"
 #include "routing/server_health.hpp"
 #include "routing/server_limits.hpp"
 #include "routing/server_table.hpp"
--- a/source/core/router/relay.cpp
+++ b/source/core/router/relay.cpp
@@ -112,7 +112,7 @@
     const auto now = this->core->hooks.clock();
     const auto work = this->work();
     auto next = std::make_shared<attempt>();
-    next->server = server.start();
+    next->server = server.instance();
     next->version = server.version;
     next->work = work.prompt + work.answer;
     next->prompt_work = work.prompt;
@@ -180,10 +180,10 @@
     this->settle(of, end, outcome);
 }
 
-auto relay::print() -> routing::request_fingerprint
+auto relay::fingerprint() -> routing::request_fingerprint
 {
     if (!this->known_print) {
-        this->known_print = this->core->print_of(this->request.asked, this->request.caller);
+        this->known_print = this->core->fingerprint_of(this->request.asked, this->request.caller);
     }
     return *this->known_print;
 }
@@ -200,13 +200,13 @@
 
 auto relay::may_send_again() const -> bool
 {
-    return this->ledger.may_send_again(*this->request.route, this->core->options.most_sends) &&
+    return this->ledger.may_send_again(*this->request.route, this->core->options.max_sends) &&
            this->core->hooks.clock() < this->give_up_at;
 }
 
 auto relay::may_leave_current() const -> bool
 {
-    return this->ledger.may_leave(*this->request.route, this->core->options.most_sends) &&
+    return this->ledger.may_abandon_send(*this->request.route, this->core->options.max_sends) &&
            this->core->hooks.clock() < this->give_up_at;
 }
 
@@ -215,7 +215,7 @@
     if (this->ended) {
         return;
     }
-    if (this->core->crashes.has_barred() && this->core->crashes.is_barred(this->print())) {
+    if (this->core->crashes.has_barred() && this->core->crashes.is_barred(this->fingerprint())) {
         this->give_up(result_code::ends_servers);
         return;
     }
--- a/source/core/router/relay.hpp
+++ b/source/core/router/relay.hpp
@@ -130,7 +130,7 @@
     /// Whether a server would take the request now that may go to `first` again.
     auto may_go_on_after(const routing::server_instance& first) -> bool;
     /// When a server that it may go to takes a request of this entry next; `never` without one.
-    [[nodiscard]] auto next_turn() const -> time_point;
+    [[nodiscard]] auto next_slot() const -> time_point;
     /// When a caller should come back that is refused since no server takes its request.
     [[nodiscard]] auto come_back_after() const -> std::chrono::milliseconds;
     auto log_no_server() const -> void;
@@ -191,8 +191,8 @@
         routing::attempt_end end,
         routing::server_outcome outcome) -> void;
     [[nodiscard]] auto is_stream() const -> bool;
-    /// As `router_core::print_of`; made once it is asked for.
-    auto print() -> routing::request_fingerprint;
+    /// As `router_core::fingerprint_of`; made once it is asked for.
+    auto fingerprint() -> routing::request_fingerprint;
     /// The caller has a part of the stream from a connection that was cut.
     [[nodiscard]] auto is_resumed() const -> bool;
     auto retries() -> placement::retry_budget&;
--- a/source/core/router/relay_answers.cpp
+++ b/source/core/router/relay_answers.cpp
@@ -91,7 +91,7 @@
     }
     if (of->said == verdict::not_executed && head.status == misdirected) {
         // Another server has the address: the one that was meant has ended.
-        this->core->servers.drop(of->server, this->core->hooks.clock());
+        this->core->servers.remove_replaced(of->server, this->core->hooks.clock());
     }
     if (of->said == verdict::success && this->is_stream() && !this->ask_larger_model(of)) {
         of->events.emplace(this->last_event);
@@ -120,12 +120,12 @@
 {
     const auto& route = *this->request.route;
     const bool may_ask = !this->model.empty() && !this->is_streaming &&
-                         this->ledger.may_be_dropped(route, this->core->options.most_sends);
+                         this->ledger.may_discard_answer(route, this->core->options.max_sends);
     const auto said = http::find_header(of->head.headers, this->core->options.names.confidence);
     const auto confidence = said ? parse_confidence(*said) : -1;
     const bool must_be_quick = this->core->must_be_quick(route, this->request.caller);
     const auto asked = must_be_quick ? 0.0
-                                     : routing::asked_confidence(
+                                     : routing::required_confidence(
                                            this->core->options.models,
                                            route,
                                            this->core->waits.level(),
@@ -226,7 +226,7 @@
         if (!of->has_events) {
             of->has_events = true;
             of->first_event = of->last_progress;
-            this->core->loads.lighten(of->server, of->prompt_work);
+            this->core->loads.reduce_work(of->server, of->prompt_work);
             of->work -= of->prompt_work;
             const auto took = milliseconds_between(of->sent, of->last_progress);
             const auto& route = this->request.route->name;
@@ -274,7 +274,7 @@
         this->log_answer(*of, "server refused");
         this->settle(of, attempt_end::not_executed, server_outcome::refused);
         if (of->words.rest) {
-            this->ledger.note_rest_asked();
+            this->ledger.note_backoff_asked();
         }
         this->try_again(result_code::no_capacity);
         return;
@@ -310,7 +310,7 @@
         common::log_part::place,
         common::log_level::info,
         "attempt lost request=" + this->request.caller.attempt + " print=" +
-            to_string(this->print()) + " server=" + of.server.id.value() + " after_ms=" +
+            to_string(this->fingerprint()) + " server=" + of.server.id.value() + " after_ms=" +
             std::to_string(milliseconds_between(of.sent, this->core->hooks.clock()).count()) +
             " head=" + (of.said == verdict::none ? "no" : "yes") +
             " run=" + std::string{common::to_string(why.run)} + " detail=" + why.detail);
@@ -331,14 +331,14 @@
     }
     else {
         this->core->crashes.note_lost(
-            this->print(), of->server, of->sent, this->core->hooks.clock());
+            this->fingerprint(), of->server, of->sent, this->core->hooks.clock());
     }
     this->try_again(result_code::outcome_unknown);
 }
 
 auto relay::on_success(const std::shared_ptr<attempt>& of) -> void
 {
-    if (of->events && of->events->has_rest()) {
+    if (of->events && of->events->has_partial_event()) {
         // The body ended as if whole, inside an event.
         this->settle(of, attempt_end::ran, server_outcome::failed);
         this->try_again(result_code::stream_broken);
@@ -346,7 +346,7 @@
     }
     this->settle(of, attempt_end::ran, server_outcome::good);
     if (this->core->crashes.has_suspects()) {
-        this->core->crashes.note_served(this->print(), of->server, this->core->hooks.clock());
+        this->core->crashes.note_served(this->fingerprint(), of->server, this->core->hooks.clock());
     }
     if (of->events && this->is_streaming) {
         this->out->finish();
--- a/source/core/router/relay_target.cpp
+++ b/source/core/router/relay_target.cpp
@@ -111,7 +111,7 @@
 
 auto relay::has_tried(const routing::registration& server) const -> bool
 {
-    return std::ranges::find(this->tried, server.start()) != this->tried.end();
+    return std::ranges::find(this->tried, server.instance()) != this->tried.end();
 }
 
 auto relay::has_homes() const -> bool
@@ -140,14 +140,14 @@
     return has_server;
 }
 
-auto relay::next_turn() const -> time_point
+auto relay::next_slot() const -> time_point
 {
     const auto now = this->core->hooks.clock();
     const auto known = this->books();
     auto next = common::never;
     for (const auto* server : this->allowed_by(this->version_rule(now), this->open_servers())) {
         if (!this->has_tried(*server)) {
-            next = std::min(next, known.intake->next_turn(*server, known.cold_per_second, now));
+            next = std::min(next, known.limiter->next_slot(*server, known.cold_per_second, now));
         }
     }
     return next;
@@ -162,7 +162,7 @@
     if (is_first) {
         this->turn_by = std::min(now + this->core->options.turn_patience, this->give_up_at);
     }
-    const auto turn = std::max<time_point>(this->next_turn(), now + least_wait);
+    const auto turn = std::max<time_point>(this->next_slot(), now + least_wait);
     if (turn > this->turn_by) {
         this->log_no_server();
         return false;
@@ -184,7 +184,7 @@
     const auto cold =
         std::ranges::count_if(open, [now](const auto* server) { return server->is_cold(now); });
     const auto resting = std::ranges::count_if(open, [this, now](const auto* server) {
-        return this->core->intake.rests_until(*server) > now;
+        return this->core->intake.backoff_until(*server) > now;
     });
     const auto limited = std::ranges::count_if(
         open, [this](const auto* server) { return this->core->intake.is_limited(*server); });
@@ -209,7 +209,7 @@
     const auto known = this->books();
     auto next = common::never;
     for (const auto* server : open) {
-        next = std::min(next, known.intake->takes_callers_at(*server, known.cold_per_second, now));
+        next = std::min(next, known.limiter->caller_retry_at(*server, known.cold_per_second, now));
     }
     if (next <= now) {
         return options.come_back_after;
@@ -228,8 +228,8 @@
     routing::keep_allowed(usable, rule);
     if (rule.preferred && rule.spread < 1.0) {
         routing::keep_canaries(usable, rule.spread, [this, now](const auto& server) {
-            return this->has_tried(server) || this->core->intake.takes_few(server, now) ||
-                   this->core->health.is_resting(server.start(), now);
+            return this->has_tried(server) || this->core->intake.is_restricted(server, now) ||
+                   this->core->health.is_ejected(server.instance(), now);
         });
     }
     return usable;
@@ -269,7 +269,8 @@
     const auto used = this->model_at;
     this->use_model(routing::next_model(*this->request.route));
     const auto* server = this->choose_server();
-    const auto ahead = server == nullptr ? 0.0 : this->core->loads.total(server->start(), now).work;
+    const auto ahead =
+        server == nullptr ? 0.0 : this->core->loads.total(server->instance(), now).work;
     const auto first_event = this->core->paces[this->service].expected(ahead + this->work().prompt);
     this->use_model(used);
     return now + first_event > this->received + this->request.route->target;
--- a/source/core/router/rollout_writer.cpp
+++ b/source/core/router/rollout_writer.cpp
@@ -26,7 +26,7 @@
 auto rollout_writer::tick() -> void
 {
     const auto now = this->core->hooks.clock();
-    if (this->core->rollouts.due(now).empty()) {
+    if (this->core->rollouts.due_states(now).empty()) {
         this->due_since = common::never;
         return;
     }
@@ -52,7 +52,7 @@
                 return;
             }
             for (const auto& status : reading->documents) {
-                self->core->rollouts.learn(status);
+                self->core->rollouts.apply_status(status);
             }
             self->write(reading->end);
         });
@@ -60,7 +60,7 @@
 
 auto rollout_writer::write(stream_position at) -> void
 {
-    const auto due = this->core->rollouts.due(this->core->hooks.clock());
+    const auto due = this->core->rollouts.due_states(this->core->hooks.clock());
     if (due.empty()) {
         this->is_busy = false;
         return;
@@ -78,7 +78,7 @@
                     status.target.value() + " state=" + std::string{to_string(status.state)} +
                     " ok=" + (written ? "yes" : "no"));
             if (written) {
-                self->core->rollouts.learn(status);
+                self->core->rollouts.apply_status(status);
                 return;
             }
             // Another entry was first, or the answer was lost: the next try reads again.
--- a/source/core/router/router_core.cpp
+++ b/source/core/router/router_core.cpp
@@ -73,11 +73,11 @@
         std::move(out));
 }
 
-auto router_core::print_of(const http::request& asked, const caller_request& caller) const
+auto router_core::fingerprint_of(const http::request& asked, const caller_request& caller) const
     -> routing::request_fingerprint
 {
     const auto* owner = this->rules_in_force->owner_of(caller.key);
-    return routing::print_of(
+    return routing::fingerprint_of(
         {owner == nullptr ? std::string_view{} : owner->name.value(),
          asked.method,
          http::find_header(asked.headers, "Host").value_or(""),
@@ -85,14 +85,14 @@
          asked.body});
 }
 
-auto router_core::hear_barred(const routing::barred_report& told, const std::string& told_by)
+auto router_core::apply_barred(const routing::barred_report& told, const std::string& told_by)
     -> void
 {
-    if (this->crashes.hear_barred(told, this->hooks.clock())) {
+    if (this->crashes.apply_barred(told, this->hooks.clock())) {
         common::log(
             common::log_part::place,
             common::log_level::warning,
-            "request barred print=" + to_string(told.print) + " told_by=" + told_by);
+            "request barred print=" + to_string(told.fingerprint) + " told_by=" + told_by);
     }
 }
 
@@ -101,7 +101,7 @@
     const server_directives& said,
     const std::string& attempt) -> void
 {
-    if (said.has_odd_limit && this->intake.limits().note_odd(server)) {
+    if (said.has_odd_limit && this->intake.limits().note_malformed(server)) {
         this->counters.count_server_word("limit_unreadable");
         common::log(
             common::log_part::members,
@@ -115,7 +115,7 @@
     const auto change = this->intake.limits().note(server, said.limit, now);
     this->log_limit(change, to_string(server), said.limit, " request=" + attempt);
     const bool concerns_all =
-        change == routing::limit_change::named || change == routing::limit_change::lifted;
+        change == routing::limit_change::imposed || change == routing::limit_change::lifted;
     if (concerns_all && now - this->limit_news_at >= this->options.limit_news_period) {
         this->server_news += 1;
         this->limit_news_at = now;
@@ -126,10 +126,10 @@
     -> void
 {
     const auto* known = this->servers.find(server.id);
-    if (known == nullptr || known->start() != server) {
+    if (known == nullptr || known->instance() != server) {
         return;
     }
-    this->servers.retire(server, this->hooks.clock());
+    this->servers.mark_leaving(server, this->hooks.clock());
     this->server_news += 1;
     this->counters.count_server_word("leaving");
     common::log(
@@ -144,7 +144,7 @@
     // All entries are turned away in one moment; they do not come back in one.
     const auto more =
         std::min(rest, this->options.returns_spread) * common::random_unit(this->hooks.random);
-    this->intake.note_rest(
+    this->intake.note_backoff(
         server, this->hooks.clock() + rest + std::chrono::duration_cast<common::duration>(more));
     this->counters.rests.add();
 }
@@ -153,9 +153,9 @@
     const std::vector<routing::limit_report>& told, const std::string& told_by) -> void
 {
     for (const auto& one : told) {
-        const auto change = this->intake.limits().hear(one, this->hooks.clock());
+        const auto change = this->intake.limits().apply_report(one, this->hooks.clock());
         if (change != routing::limit_change::none) {
-            const auto server = this->servers.find_named(one.server);
+            const auto server = this->servers.find_by_hash(one.server);
             const auto name = server ? to_string(*server) : "unknown";
             this->log_limit(change, name, one.per_second, " told_by=" + told_by);
         }
@@ -185,12 +185,12 @@
     if (!this->crashes.has_barred()) {
         return std::nullopt;
     }
-    const auto print = this->print_of(asked, caller);
-    if (!this->crashes.is_barred(print)) {
+    const auto fingerprint = this->fingerprint_of(asked, caller);
+    if (!this->crashes.is_barred(fingerprint)) {
         return std::nullopt;
     }
-    this->crashes.note_refused(print, this->hooks.clock());
-    return print;
+    this->crashes.note_refused(fingerprint, this->hooks.clock());
+    return fingerprint;
 }
 
 auto router_core::refuse(
@@ -288,7 +288,7 @@
     }
     if (why == common::result_code::ends_servers) {
         // Sooner it is refused again, and remembered for longer.
-        return this->options.crashes.remembered;
+        return this->options.crashes.barred_for;
     }
     const auto usual = this->options.come_back_after;
     if (why != common::result_code::shutting_down || !this->hooks.served_elsewhere_at) {
@@ -307,7 +307,7 @@
     if (found == nullptr) {
         return common::failure(common::result_code::unknown_path);
     }
-    const bool needs_key = this->rules_in_force->rules().asks_for_keys() && !found->is_open;
+    const bool needs_key = this->rules_in_force->rules().requires_keys() && !found->is_open;
     if (needs_key && this->rules_in_force->owner_of(caller.key) == nullptr) {
         return common::failure(common::result_code::unauthenticated);
     }
--- a/source/core/router/router_core.hpp
+++ b/source/core/router/router_core.hpp
@@ -25,7 +25,7 @@
 #include "routing/list_freshness.hpp"
 #include "routing/load_tracker.hpp"
 #include "routing/model_choice.hpp"
-#include "routing/rollout_guide.hpp"
+#include "routing/rollout_manager.hpp"
 #include "routing/server_choice.hpp"
 #include "routing/server_health.hpp"
 #include "routing/server_limiter.hpp"
@@ -68,7 +68,7 @@
     placement::retry_budget_settings retries;
     /// Sends of one request, refused ones included. A refusal costs a round trip, and a service
     /// whose servers all refuse is full.
-    unsigned most_sends = 4;
+    unsigned max_sends = 4;
 
     /// Time that a request needs to be taken by a process that ends: a start, as long as nearly all
     /// plain requests and first events take, and for a stream its tokens, at the pace of the
@@ -219,7 +219,7 @@
     auto end_all() -> void;
 
     /// Another entry, or the store, knows that a request ends servers.
-    auto hear_barred(const routing::barred_report& told, const std::string& told_by) -> void;
+    auto apply_barred(const routing::barred_report& told, const std::string& told_by) -> void;
 
     /// A server names its limit in its answer to the attempt, or names none any more.
     auto hear_limit(
@@ -242,7 +242,8 @@
     [[nodiscard]] auto words_of_servers() const -> std::uint64_t { return this->server_news; }
 
     /// What tells the request from others, whatever its attempt id.
-    [[nodiscard]] auto print_of(const http::request& asked, const caller_request& caller) const
+    [[nodiscard]] auto
+    fingerprint_of(const http::request& asked, const caller_request& caller) const
         -> routing::request_fingerprint;
 
     /// The process will end before a larger model's answer would; the smallest one's has to do.
@@ -265,7 +266,7 @@
     routing::server_limiter intake;
     routing::evacuation_registry evacuations;
     routing::crash_tracker crashes;
-    routing::rollout_guide rollouts;
+    routing::rollout_manager rollouts;
     metrics::registry series;
     routing::wait_gauge waits;
     router_metrics counters;
--- a/source/core/router/rules_follower.cpp
+++ b/source/core/router/rules_follower.cpp
@@ -59,7 +59,7 @@
             }
             self->core->counters.count_skipped("states", reading->skipped);
             for (const auto& status : reading->documents) {
-                self->core->rollouts.learn(status);
+                self->core->rollouts.apply_status(status);
             }
             self->read_next(self->options.rules_wait);
         });
@@ -123,10 +123,10 @@
             evacuations.push_back(*evacuation);
         }
         else if (const auto& order = std::get<routing::rollout_order>(document); is_copy) {
-            this->core->rollouts.order_in_copy(order, now);
+            this->core->rollouts.apply_restored_order(order, now);
         }
         else {
-            this->core->rollouts.order(order, now);
+            this->core->rollouts.apply_order(order, now);
         }
     }
     this->take_evacuations(evacuations, reading->is_whole, reading->end);
--- a/source/core/router/servers_list.cpp
+++ b/source/core/router/servers_list.cpp
@@ -110,7 +110,7 @@
     this->journal.note(this->position.value_or(handed.end), handed.end, told);
     this->position = handed.end;
     this->taken_over_at = now;
-    this->core->freshness.note_told(handed.end);
+    this->core->freshness.note_handed_on(handed.end);
     this->settle(now);
     return list_step::taken;
 }
@@ -171,13 +171,13 @@
     std::vector<registration_change> others;
     std::ranges::copy_if(changes, std::back_inserter(others), [&servers](const auto& change) {
         const bool is_ended =
-            change.now && !servers.state_of(change.id) && servers.has_ended(change.now->start());
+            change.now && !servers.state_of(change.id) && servers.has_ended(change.now->instance());
         if (is_ended) {
             common::log(
                 log_part::members,
                 log_level::info,
                 "server left out, it stands in an older copy server=" +
-                    to_string(change.now->start()));
+                    to_string(change.now->instance()));
         }
         return !is_ended;
     });
@@ -190,8 +190,8 @@
         return this->lapse(change.id, now);
     }
     auto& servers = this->core->servers;
-    const auto event =
-        change.now ? servers.take(this->as_read(*change.now, now), now) : servers.spoil(change.id);
+    const auto event = change.now ? servers.apply_registration(this->as_read(*change.now, now), now)
+                                  : servers.mark_unreadable(change.id);
     this->tell(event, change);
     return event;
 }
@@ -202,7 +202,7 @@
     read.cold_until = now + read.cold_for;
     if (this->core->hooks.unix_ms) {
         const auto latest = this->core->hooks.unix_ms() + clocks_differ_by_ms;
-        read.is_born_ahead = read.born.value() > latest;
+        read.starts_in_future = read.started_at.value() > latest;
     }
     return read;
 }
@@ -216,9 +216,9 @@
     this->core->counters.count_server_word(std::string{to_string(event)});
     std::string line = "server " + std::string{to_string(event)} + " server=";
     if (change.now) {
-        line += to_string(change.now->start()) + " service=" + change.now->service.value() +
+        line += to_string(change.now->instance()) + " service=" + change.now->service.value() +
                 " version=" + change.now->version.value() +
-                (change.now->is_born_ahead ? " start=ahead_of_the_time_of_day" : "");
+                (change.now->starts_in_future ? " start=ahead_of_the_time_of_day" : "");
     }
     else {
         line += change.id.value();
@@ -244,13 +244,13 @@
     return this->core->freshness.outage_ended(now) + this->options.registration_grace;
 }
 
-auto servers_list::end_lapsed(time_point now) -> void
+auto servers_list::remove_lapsed(time_point now) -> void
 {
     if (now < this->kept_until(now)) {
         return;
     }
     const auto read_to = this->core->freshness.read_to();
-    for (const auto& server : this->core->servers.end_lapsed(read_to, now)) {
+    for (const auto& server : this->core->servers.remove_lapsed(read_to, now)) {
         common::log(log_part::members, log_level::info, "server gone server=" + to_string(server));
     }
 }
@@ -259,7 +259,7 @@
 /// and a reading may hang for longer than that time lasts.
 auto servers_list::check_lapsed() -> void
 {
-    this->end_lapsed(this->core->hooks.clock());
+    this->remove_lapsed(this->core->hooks.clock());
     if (!this->core->servers.has_lapsed() || std::exchange(this->checks_lapsed, true)) {
         return;
     }
@@ -277,10 +277,10 @@
     }
     this->swept_at = now;
     auto& servers = this->core->servers;
-    servers.forget_left(now);
+    servers.expire_left(now);
     const auto is_gone = [&servers](const routing::server_instance& server) {
         const auto* known = servers.find(server.id);
-        return known == nullptr || known->start() != server;
+        return known == nullptr || known->instance() != server;
     };
     this->core->health.forget_if(is_gone);
     this->core->intake.forget_if(is_gone, now);
--- a/source/core/router/servers_list.hpp
+++ b/source/core/router/servers_list.hpp
@@ -85,7 +85,7 @@
     auto settle(time_point now) -> void;
     /// Until when ended registrations are kept, as far as is known now.
     [[nodiscard]] auto kept_until(time_point now) const -> time_point;
-    auto end_lapsed(time_point now) -> void;
+    auto remove_lapsed(time_point now) -> void;
     auto check_lapsed() -> void;
     /// Forgets what belongs to servers that have gone.
     auto sweep(time_point now) -> void;
--- a/source/core/router/shared_store.hpp
+++ b/source/core/router/shared_store.hpp
@@ -56,7 +56,7 @@
 
 /// A request that ends servers, in the store for entries that all start anew.
 struct barred_record {
-    routing::request_fingerprint print;
+    routing::request_fingerprint fingerprint;
     /// When it was barred, in milliseconds since 1970 by the writer's host.
     std::uint64_t unix_ms = 0;
 
@@ -103,7 +103,8 @@
     std::function<auto(entry_record self, answer_hook<stream_position> done)->void> write_entry;
     std::function<auto(barred_record one, answer_hook<stream_position> done)->void> write_barred;
     /// Takes the record out.
-    std::function<auto(routing::request_fingerprint print, answer_hook<stream_position> done)->void>
+    std::function<
+        auto(routing::request_fingerprint fingerprint, answer_hook<stream_position> done)->void>
         drop_barred;
 
     /// Reads a configuration from the text that a peer handed on.
--- a/source/core/routing/attempt_ledger.cpp
+++ b/source/core/routing/attempt_ledger.cpp
@@ -32,31 +32,31 @@
 }
 
 auto attempt_ledger::leaves_room(
-    const route& on, unsigned most_sends, unsigned more_runs, unsigned more_sends) const -> bool
+    const route& on, unsigned max_sends, unsigned more_runs, unsigned more_sends) const -> bool
 {
-    // Some servers that turn all away look the emptiest, and are met first by each request.
-    const auto excused = std::min(this->rests, most_sends);
-    return this->runs + more_runs <= on.most_attempts &&
-           this->sent - excused + more_sends <= most_sends;
+    // Servers that refuse everything appear the least loaded, so every request tries them first.
+    const auto excused = std::min(this->backoffs, max_sends);
+    return this->runs + more_runs <= on.max_attempts &&
+           this->sent - excused + more_sends <= max_sends;
 }
 
-auto attempt_ledger::may_send_again(const route& on, unsigned most_sends) const -> bool
+auto attempt_ledger::may_send_again(const route& on, unsigned max_sends) const -> bool
 {
     if (this->may_have_run && !is_repeatable(on)) {
         return false;
     }
-    return this->leaves_room(on, most_sends, 1, 1);
+    return this->leaves_room(on, max_sends, 1, 1);
 }
 
-auto attempt_ledger::may_leave(const route& on, unsigned most_sends) const -> bool
+auto attempt_ledger::may_abandon_send(const route& on, unsigned max_sends) const -> bool
 {
-    return is_repeatable(on) && this->leaves_room(on, most_sends, 2, 1);
+    return is_repeatable(on) && this->leaves_room(on, max_sends, 2, 1);
 }
 
-auto attempt_ledger::may_be_dropped(const route& on, unsigned most_sends) const -> bool
+auto attempt_ledger::may_discard_answer(const route& on, unsigned max_sends) const -> bool
 {
-    // The answer that is dropped has run too, and is not yet in the ledger.
-    return is_repeatable(on) && this->leaves_room(on, most_sends, 2, 2);
+    // The discarded answer was executed too, and is not in the ledger yet.
+    return is_repeatable(on) && this->leaves_room(on, max_sends, 2, 2);
 }
 
 } // namespace reedramp::routing
--- a/source/core/routing/attempt_ledger.hpp
+++ b/source/core/routing/attempt_ledger.hpp
@@ -4,62 +4,64 @@
 
 namespace reedramp::routing {
 
-/// How one send of a request ended, as far as that is known.
+/// How one send of a request ended, as far as this process knows.
 enum class attempt_end : std::uint8_t {
-    /// No byte of it left.
+    /// No byte of the request was sent.
     not_sent,
-    /// The server says that it has not run it and never will.
+    /// The server states that it has not executed the request and never will.
     not_executed,
-    /// The server worked on it: its answer, or a part of it, is here.
+    /// The server executed it: a response, or part of one, was received.
     ran,
-    /// It was sent, and nothing came back.
+    /// The request was sent and no response arrived.
     unknown,
-    /// The same for a stream, whose head comes with its first token: as a rule it still waited for
-    /// its turn.
+    /// As `unknown`, for a stream. A stream's response head arrives with its first token, so the
+    /// request was most likely still queued at the server.
     unknown_in_queue,
 };
 
-/// What is known of a request over all its sends, and what follows from that.
+/// Tracks all sends of one request and decides whether it may be sent again.
 ///
-/// Two mistakes are possible. Sending again what may have run lets it run twice; telling the caller
-/// "not run" of what may have run makes the caller do the same.
+/// Two mistakes have to be avoided: resending a request that may have been executed executes it
+/// twice, and reporting "not executed" for such a request makes the caller do the same.
 class attempt_ledger {
 public:
-    /// Sends in all, refused ones included.
+    /// Number of sends, refused ones included.
     [[nodiscard]] auto sends() const -> unsigned { return this->sent; }
 
     auto note_sent() -> void { this->sent += 1; }
 
     auto note_end(attempt_end how) -> void;
 
-    /// A server has turned the request away and asked for rest: it can't be met again so soon. Not
-    /// a send that brings the request nearer to its last one, up to as many as it may have.
-    auto note_rest_asked() -> void { this->rests += 1; }
+    /// Records that a server refused the request and asked for a backoff. The request can't return
+    /// to that server soon, so the send does not count towards `max_sends`; at most `max_sends`
+    /// refusals are exempt in this way.
+    auto note_backoff_asked() -> void { this->backoffs += 1; }
 
-    /// No server has worked on the request, for certain.
+    /// Whether it is certain that no server has executed the request.
     [[nodiscard]] auto is_not_run() const -> bool { return !this->may_have_run; }
 
-    /// Whether the route lets the request be sent once more after what is known, with at most
-    /// `most_sends` in all.
-    [[nodiscard]] auto may_send_again(const route& on, unsigned most_sends) const -> bool;
+    /// Whether the route allows another send, with at most `max_sends` in total.
+    [[nodiscard]] auto may_send_again(const route& on, unsigned max_sends) const -> bool;
 
-    /// Whether a send under way may be left for another one. It may have run, though no word of it
-    /// has come: servers that hang take requests and begin them. Left with only one run to spare,
-    /// a stream that stalled at several of them ran on more servers than its route allows.
-    [[nodiscard]] auto may_leave(const route& on, unsigned most_sends) const -> bool;
+    /// Whether a send in flight may be abandoned for another one. It may have been executed
+    /// although no response has arrived: servers that hang accept requests and start them. Two
+    /// further executions must therefore be allowed. With room for only one, a stream that stalled
+    /// at several servers was executed by more servers than its route allows.
+    [[nodiscard]] auto may_abandon_send(const route& on, unsigned max_sends) const -> bool;
 
-    /// Whether two more may be sent: one for a larger model, and one if that is lost.
-    [[nodiscard]] auto may_be_dropped(const route& on, unsigned most_sends) const -> bool;
+    /// Whether the current answer may be discarded in favour of a larger model. Needs room for two
+    /// more sends: one to the larger model, and one more if that is lost.
+    [[nodiscard]] auto may_discard_answer(const route& on, unsigned max_sends) const -> bool;
 
 private:
     [[nodiscard]] auto
-    leaves_room(const route& on, unsigned most_sends, unsigned more_runs, unsigned more_sends) const
+    leaves_room(const route& on, unsigned max_sends, unsigned more_runs, unsigned more_sends) const
         -> bool;
 
     unsigned sent = 0;
-    /// Of them, refused by servers that asked for rest.
-    unsigned rests = 0;
-    /// Sends that ran, as far as is known; they count against the route's bound.
+    /// How many of these were refused by servers that asked for a backoff.
+    unsigned backoffs = 0;
+    /// Sends known to have been executed, or assumed to be; they count against the route's limit.
     unsigned runs = 0;
     bool may_have_run = false;
 };
--- a/source/core/routing/configuration.hpp
+++ b/source/core/routing/configuration.hpp
@@ -11,19 +11,20 @@
 
 #include "common/ids.hpp"
 
-/// Requests that are routed straight to backend servers: which route, service, version, model and
-/// server, what may be sent again, and what a version's answers say about it. No sockets.
+/// Routing of requests directly to backend servers: selects the route, service, version, model and
+/// server, decides which requests may be resent, and judges a version by its answers. Uses no
+/// sockets.
 namespace reedramp::routing {
 
 using route_name = common::strong<struct route_tag, std::string>;
 
-/// What may happen to a request whose outcome is unknown.
+/// Whether a request whose outcome is unknown may be sent again.
 enum class request_kind : std::uint8_t {
-    /// May run more than once.
+    /// May be executed more than once.
     idempotent,
-    /// May run at most once.
+    /// May be executed at most once.
     non_idempotent,
-    /// An answer of events; as `non_idempotent` unless its route says that it may be resumed.
+    /// Answered by an event stream. Treated as `non_idempotent` unless its route is resumable.
     stream,
 };
 
@@ -35,63 +36,64 @@
 struct route {
     route_name name;
     std::string host;
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     std::string path_prefix;
     request_kind kind = request_kind::non_idempotent;
-    /// The longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits.
     std::chrono::milliseconds timeout{0};
-    /// An answer (of a stream: its first event) is on time within this.
+    /// An answer (for a stream, its first event) within this time is on time.
     std::chrono::milliseconds target{0};
-    /// The longest pause between two events of a stream that is on time.
+    /// Maximum pause between two events of a stream that counts as on time.
     std::chrono::milliseconds longest_pause{0};
-    /// 0 is the most urgent.
+    /// 0 is the highest priority.
     unsigned priority = 0;
-    /// Most backend servers that one request may be sent to.
-    unsigned most_attempts = 1;
-    /// Needs no key.
+    /// Maximum number of backend servers to which one request may be sent.
+    unsigned max_attempts = 1;
+    /// Accepts requests without a key.
     bool is_open = false;
-    /// A stream that may go on at another server after the last event that the caller has.
+    /// Whether a stream may be continued by another server after the last event that the caller
+    /// received.
     bool is_resumable = false;
     std::vector<weighted_service> targets;
-    /// Models that may answer, smallest first; empty when the caller names the model.
+    /// Models that may answer, smallest first. Empty if the caller names the model.
     std::vector<common::model_id> models;
-    /// Regions in which its requests may run; empty: all.
+    /// Regions in which requests may be executed. Empty: all.
     std::vector<common::region_id> homes;
 };
 
 struct priced_model {
     common::model_id name;
-    /// Price of 1,000 generated tokens; tokens read cost a quarter.
+    /// Price of 1,000 generated tokens. Prompt tokens cost a quarter of that.
     double cost = 0.0;
 };
 
 struct service {
     common::service_name name;
-    /// Connections that one server takes from all callers together.
-    unsigned most_connections = 0;
-    /// Requests that one model engine works on at once; 0 for a plain service.
+    /// Maximum number of connections to one server, from all callers together.
+    unsigned max_connections = 0;
+    /// Requests that one model engine processes concurrently; 0 for a plain service.
     unsigned engine_slots = 0;
     std::uint64_t memory_tokens = 0;
     std::vector<priced_model> models;
-    /// Requests a second that a server bears while it is cold; 0 if it bears all.
+    /// Requests per second that a cold server can handle; 0 if it needs no limit.
     double cold_per_second = 0.0;
 };
 
 struct organisation {
     common::organisation_id name;
     std::vector<std::string> keys;
-    /// As of a route; both bind.
+    /// As for a route. Both restrictions apply.
     std::vector<common::region_id> homes{};
 };
 
-/// What callers may send, and how long they may take.
+/// Limits on callers' requests and connections.
 struct caller_limits {
     std::size_t header_bytes = 16384;
     std::size_t body_bytes = 4UL * 1024UL * 1024UL;
     std::chrono::milliseconds idle{15000};
 };
 
-/// One version of the operators' rules, whole.
+/// One complete version of the operators' rules.
 struct configuration {
     std::uint64_t version = 0;
     std::vector<route> routes;
@@ -99,11 +101,11 @@
     std::vector<organisation> organisations;
     caller_limits limits;
 
-    /// With organisations, a request needs a key unless its route is open.
-    [[nodiscard]] auto asks_for_keys() const -> bool { return !this->organisations.empty(); }
+    /// Whether requests need a key: any organisation is configured. Open routes are exempt.
+    [[nodiscard]] auto requires_keys() const -> bool { return !this->organisations.empty(); }
 };
 
-/// A configuration with its look-ups. Immutable, shared by the requests that began under it.
+/// A configuration with lookup indexes. Immutable; shared by the requests that started under it.
 class route_table {
 public:
     explicit route_table(configuration content);
@@ -112,23 +114,23 @@
 
     [[nodiscard]] auto rules() const -> const configuration& { return this->content; }
 
-    /// The route with the longest prefix of `path` among those of `host`; null without one. A port
-    /// behind the host's name is ignored, and the name's case.
+    /// Returns the route of `host` with the longest matching prefix of `path`, or null. Ignores a
+    /// port in `host` and the case of `host`.
     [[nodiscard]] auto find(std::string_view host, std::string_view path) const -> const route*;
 
-    /// The organisation that holds `key`; null if none does.
+    /// Returns the organisation that holds `key`, or null.
     [[nodiscard]] auto owner_of(const std::string& key) const -> const organisation*;
 
     [[nodiscard]] auto find_service(const common::service_name& name) const -> const service*;
 
 private:
     configuration content;
-    /// Host to routes, longest prefix first.
+    /// Routes by host, longest prefix first.
     std::unordered_map<std::string, std::vector<const route*>> by_host;
     std::unordered_map<std::string, const organisation*> by_key;
 };
 
-/// Takes the service of a request by the weights. `draw` is uniform in [0, 1).
+/// Chooses the service of a request by the weights. `draw` is uniform in [0, 1).
 auto choose_service(const route& from, double draw) -> const common::service_name&;
 
 } // namespace reedramp::routing
--- a/source/core/routing/crash_tracker.cpp
+++ b/source/core/routing/crash_tracker.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// What is kept too long costs little.
-constexpr std::chrono::seconds between_sweeps{10};
+/// Interval between removals of expired entries; a late removal costs little.
+constexpr std::chrono::seconds sweep_interval{10};
 
-/// One moment alone never bars a request, and two of them do.
-constexpr std::size_t most_in_moment = 2;
+/// Crashes that count within one burst: one burst alone never bars a request, two bursts do.
+constexpr std::size_t max_per_burst = 2;
 
 auto age_of(time_point at, time_point now) -> std::chrono::milliseconds
 {
@@ -21,14 +21,14 @@
 } // namespace
 
 auto crash_tracker::note_lost(
-    request_fingerprint print, const server_instance& server, time_point sent, time_point now)
+    request_fingerprint fingerprint, const server_instance& server, time_point sent, time_point now)
     -> void
 {
     const auto hash = hash_of(server);
     const lost_request how{now, sent, true};
-    this->note(print, hash, how, now);
-    this->doubtful.insert(server);
-    this->untold_losses.push_back({print, hash, how});
+    this->note(fingerprint, hash, how, now);
+    this->unconfirmed.insert(server);
+    this->unsent_losses.push_back({fingerprint, hash, how});
 }
 
 auto crash_tracker::note_down(const server_instance& server, time_point now) -> void
@@ -40,7 +40,7 @@
     }
     const lost_request how{now, now, true};
     this->note(request_fingerprint{}, hash, how, now);
-    this->untold_losses.push_back({request_fingerprint{}, hash, how});
+    this->unsent_losses.push_back({request_fingerprint{}, hash, how});
 }
 
 auto crash_tracker::note_alive(const server_instance& server) -> void
@@ -48,9 +48,9 @@
     this->crashes.erase(hash_of(server));
 }
 
-auto crash_tracker::take_doubtful() -> std::vector<server_instance>
+auto crash_tracker::take_unconfirmed() -> std::vector<server_instance>
 {
-    const auto noted = std::exchange(this->doubtful, {});
+    const auto noted = std::exchange(this->unconfirmed, {});
     std::vector<server_instance> servers{noted.begin(), noted.end()};
     std::erase_if(servers, [this](const server_instance& server) {
         const auto known = this->crashes.find(hash_of(server));
@@ -60,56 +60,58 @@
 }
 
 auto crash_tracker::note(
-    request_fingerprint print, std::uint64_t server, lost_request how, time_point now) -> void
+    request_fingerprint fingerprint, std::uint64_t server, lost_request how, time_point now) -> void
 {
-    const auto served_at = this->served.find(print);
+    const auto served_at = this->served.find(fingerprint);
     if (served_at != this->served.end() && served_at->second >= how.at) {
         return;
     }
     auto& one = this->crashes.try_emplace(server, crash{how.at, {}, false}).first->second;
     one.at = std::min(one.at, how.at);
-    if (print == request_fingerprint{}) {
+    if (fingerprint == request_fingerprint{}) {
         one.is_down = true;
     }
     else {
-        one.suspects.try_emplace(print, how);
+        one.suspects.try_emplace(fingerprint, how);
     }
-    this->evidence_at = now;
+    this->new_evidence_at = now;
 }
 
 auto crash_tracker::note_served(
-    request_fingerprint print, const server_instance& server, time_point now) -> void
+    request_fingerprint fingerprint, const server_instance& server, time_point now) -> void
 {
     const auto known = this->crashes.find(hash_of(server));
-    // What it answered before it ended may be read a little later.
-    if (known != this->crashes.end() && now - known->second.at > this->settings.together) {
+    // An answer that the server sent before it crashed may be read a little later.
+    if (known != this->crashes.end() &&
+        now - known->second.at > this->settings.correlation_window) {
         this->crashes.erase(known);
     }
-    const bool is_suspect = this->barred.contains(print) ||
-                            std::ranges::any_of(this->crashes, [print](const auto& item) {
-                                return item.second.suspects.contains(print);
+    const bool is_suspect = this->barred.contains(fingerprint) ||
+                            std::ranges::any_of(this->crashes, [fingerprint](const auto& item) {
+                                return item.second.suspects.contains(fingerprint);
                             });
     if (is_suspect) {
-        this->absolve(print, now, now);
-        this->untold_served.emplace_back(print, now);
+        this->clear_suspect(fingerprint, now, now);
+        this->unsent_served.emplace_back(fingerprint, now);
     }
 }
 
-auto crash_tracker::absolve(request_fingerprint print, time_point at, time_point now) -> void
+auto crash_tracker::clear_suspect(request_fingerprint fingerprint, time_point at, time_point now)
+    -> void
 {
-    auto& last = this->served.try_emplace(print, at).first->second;
+    auto& last = this->served.try_emplace(fingerprint, at).first->second;
     last = std::max(last, at);
     for (auto& [server, one] : this->crashes) {
-        const auto found = one.suspects.find(print);
+        const auto found = one.suspects.find(fingerprint);
         if (found != one.suspects.end() && found->second.at <= at) {
             one.suspects.erase(found);
         }
     }
-    const auto found = this->barred.find(print);
+    const auto found = this->barred.find(fingerprint);
     if (found != this->barred.end() && found->second.at <= at) {
         this->barred.erase(found);
     }
-    this->evidence_at = now;
+    this->new_evidence_at = now;
 }
 
 auto crash_tracker::is_crash(const crash& one) const -> bool
@@ -121,12 +123,12 @@
         return true;
     }
     std::vector<time_point> times;
-    for (const auto& [print, lost] : one.suspects) {
+    for (const auto& [fingerprint, lost] : one.suspects) {
         times.push_back(lost.at);
     }
     std::ranges::sort(times);
     return std::ranges::adjacent_find(times, [this](time_point first, time_point second) {
-               return second - first <= this->settings.together;
+               return second - first <= this->settings.correlation_window;
            }) != times.end();
 }
 
@@ -152,8 +154,8 @@
 {
     crash_counts counts;
     for (const auto* one : all) {
-        for (const auto& [print, lost] : one->suspects) {
-            counts[print] += 1;
+        for (const auto& [fingerprint, lost] : one->suspects) {
+            counts[fingerprint] += 1;
         }
     }
     return counts;
@@ -168,92 +170,92 @@
     });
 }
 
-auto crash_tracker::weigh(
-    request_fingerprint print,
+auto crash_tracker::count_evidence(
+    request_fingerprint fingerprint,
     const std::vector<const crash*>& all,
     const crash_counts& counts,
     time_point now) const -> barred_request
 {
-    barred_request found{print};
+    barred_request found{fingerprint};
     time_point first = common::never;
-    time_point moment{};
-    std::size_t in_moment = 0;
+    time_point burst_at{};
+    std::size_t in_burst = 0;
     for (const auto* one : all) {
-        const bool is_settled = now - one->at >= this->settings.settles_after;
-        const auto lost = one->suspects.find(print);
+        const bool is_settled = now - one->at >= this->settings.settle_time;
+        const auto lost = one->suspects.find(fingerprint);
         const bool is_there = lost != one->suspects.end();
-        if (!is_there || !is_settled || has_likelier(*one, print, counts)) {
+        if (!is_there || !is_settled || has_likelier(*one, fingerprint, counts)) {
             continue;
         }
         found.is_own = found.is_own || lost->second.is_own;
         first = std::min(first, one->at);
-        const bool is_later = one->at - moment >= this->settings.one_moment;
-        if (is_later || lost->second.sent >= moment) {
-            moment = one->at;
-            in_moment = 0;
+        const bool is_later = one->at - burst_at >= this->settings.burst_window;
+        if (is_later || lost->second.sent >= burst_at) {
+            burst_at = one->at;
+            in_burst = 0;
         }
-        found.crashes += in_moment < most_in_moment ? 1 : 0;
-        in_moment += 1;
+        found.crashes += in_burst < max_per_burst ? 1 : 0;
+        in_burst += 1;
     }
     found.others = static_cast<std::size_t>(std::ranges::count_if(all, [&](const crash* one) {
         const bool has_suspect = std::ranges::any_of(one->suspects, [&](const auto& item) {
-            return item.first == print || counts.at(item.first) >= this->settings.least_crashes;
+            return item.first == fingerprint || counts.at(item.first) >= this->settings.min_crashes;
         });
         return !has_suspect && one->at >= first;
     }));
     return found;
 }
 
-auto crash_tracker::judge(time_point now) -> std::vector<barred_request>
+auto crash_tracker::find_barred(time_point now) -> std::vector<barred_request>
 {
-    if (now >= this->forgets_at) {
-        this->forget(now);
+    if (now >= this->next_sweep_at) {
+        this->expire(now);
     }
     std::vector<barred_request> found;
-    if (this->judged_at >= this->evidence_at + this->settings.settles_after) {
+    if (this->evaluated_at >= this->new_evidence_at + this->settings.settle_time) {
         return found;
     }
-    this->judged_at = now;
+    this->evaluated_at = now;
     const auto all = this->unexplained();
     const auto counts = count(all);
-    for (const auto& [print, crashes_of_it] : counts) {
-        if (crashes_of_it < this->settings.least_crashes) {
+    for (const auto& [fingerprint, crashes_of_it] : counts) {
+        if (crashes_of_it < this->settings.min_crashes) {
             continue;
         }
-        const auto weighed = this->weigh(print, all, counts, now);
-        const auto needed = this->settings.least_crashes +
-                            std::min(weighed.others, this->settings.most_more_crashes);
-        if (weighed.crashes >= needed) {
-            found.push_back(weighed);
+        const auto evidence = this->count_evidence(fingerprint, all, counts, now);
+        const auto needed = this->settings.min_crashes +
+                            std::min(evidence.others, this->settings.max_extra_crashes);
+        if (evidence.crashes >= needed) {
+            found.push_back(evidence);
         }
     }
     for (const auto& one : found) {
-        this->bar(one.print, {now, now});
+        this->bar(one.fingerprint, {now, now});
     }
     return found;
 }
 
-auto crash_tracker::note_refused(request_fingerprint print, time_point now) -> void
+auto crash_tracker::note_refused(request_fingerprint fingerprint, time_point now) -> void
 {
-    const auto found = this->barred.find(print);
+    const auto found = this->barred.find(fingerprint);
     if (found != this->barred.end()) {
         found->second.last_seen = now;
     }
 }
 
-auto crash_tracker::hear_barred(const barred_report& told, time_point now) -> bool
+auto crash_tracker::apply_barred(const barred_report& report, time_point now) -> bool
 {
-    const auto since = now - told.age;
-    const auto served_at = this->served.find(told.print);
+    const auto since = now - report.age;
+    const auto served_at = this->served.find(report.fingerprint);
     const bool was_served = served_at != this->served.end() && served_at->second >= since;
-    const bool is_old = told.unseen > this->settings.remembered;
+    const bool is_old = report.unseen > this->settings.barred_for;
     return !was_served && !is_old &&
-           this->bar(told.print, {since, now - told.unseen, told.is_recorded});
+           this->bar(report.fingerprint, {since, now - report.unseen, report.is_recorded});
 }
 
-auto crash_tracker::bar(request_fingerprint print, const barred_since& how) -> bool
+auto crash_tracker::bar(request_fingerprint fingerprint, const barred_entry& how) -> bool
 {
-    const auto [found, is_new] = this->barred.try_emplace(print, how);
+    const auto [found, is_new] = this->barred.try_emplace(fingerprint, how);
     auto& known = found->second;
     known.last_seen = std::max(known.last_seen, how.last_seen);
     known.is_recorded = known.is_recorded || how.is_recorded;
@@ -267,13 +269,13 @@
     if (found == this->barred.end()) {
         return std::nullopt;
     }
-    const auto& [print, since] = *found;
-    return barred_report{print, age_of(since.at, now), age_of(since.last_seen, now)};
+    const auto& [fingerprint, since] = *found;
+    return barred_report{fingerprint, age_of(since.at, now), age_of(since.last_seen, now)};
 }
 
-auto crash_tracker::note_recorded(request_fingerprint print) -> void
+auto crash_tracker::note_recorded(request_fingerprint fingerprint) -> void
 {
-    const auto found = this->barred.find(print);
+    const auto found = this->barred.find(fingerprint);
     if (found != this->barred.end()) {
         found->second.is_recorded = true;
     }
@@ -281,7 +283,7 @@
 
 auto crash_tracker::forget_recorded() -> void
 {
-    for (auto& [print, since] : this->barred) {
+    for (auto& [fingerprint, since] : this->barred) {
         since.is_recorded = false;
     }
 }
@@ -289,8 +291,8 @@
 auto crash_tracker::take_losses(time_point now) -> std::vector<loss_report>
 {
     std::vector<loss_report> all;
-    for (const auto& [print, server, how] : std::exchange(this->untold_losses, {})) {
-        all.push_back({print, server, age_of(how.at, now), age_of(how.sent, now)});
+    for (const auto& [fingerprint, server, how] : std::exchange(this->unsent_losses, {})) {
+        all.push_back({fingerprint, server, age_of(how.at, now), age_of(how.sent, now)});
     }
     return all;
 }
@@ -298,49 +300,50 @@
 auto crash_tracker::take_served(time_point now) -> std::vector<served_report>
 {
     std::vector<served_report> all;
-    for (const auto& [print, at] : std::exchange(this->untold_served, {})) {
-        all.push_back({print, age_of(at, now)});
+    for (const auto& [fingerprint, at] : std::exchange(this->unsent_served, {})) {
+        all.push_back({fingerprint, age_of(at, now)});
     }
     return all;
 }
 
-auto crash_tracker::hear_losses(const std::vector<loss_report>& losses, time_point now) -> void
+auto crash_tracker::apply_losses(const std::vector<loss_report>& losses, time_point now) -> void
 {
     for (const auto& loss : losses) {
-        this->note(loss.print, loss.server, {now - loss.age, now - loss.sent_age, false}, now);
+        this->note(
+            loss.fingerprint, loss.server, {now - loss.age, now - loss.sent_age, false}, now);
     }
 }
 
-auto crash_tracker::hear_served(const std::vector<served_report>& told, time_point now) -> void
+auto crash_tracker::apply_served(const std::vector<served_report>& reports, time_point now) -> void
 {
-    for (const auto& one : told) {
-        this->absolve(one.print, now - one.age, now);
+    for (const auto& one : reports) {
+        this->clear_suspect(one.fingerprint, now - one.age, now);
     }
 }
 
-auto crash_tracker::tell_barred(std::size_t most, time_point now) const
+auto crash_tracker::make_barred_reports(std::size_t most, time_point now) const
     -> std::vector<barred_report>
 {
     std::vector<barred_report> all;
-    for (const auto& [print, since] : this->barred) {
+    for (const auto& [fingerprint, since] : this->barred) {
         all.push_back(
-            {print, age_of(since.at, now), age_of(since.last_seen, now), since.is_recorded});
+            {fingerprint, age_of(since.at, now), age_of(since.last_seen, now), since.is_recorded});
     }
     std::ranges::sort(all, {}, &barred_report::unseen);
     all.resize(std::min(all.size(), most));
     return all;
 }
 
-auto crash_tracker::forget(time_point now) -> void
+auto crash_tracker::expire(time_point now) -> void
 {
-    this->forgets_at = now + between_sweeps;
-    const auto oldest = now - this->settings.remembered;
+    this->next_sweep_at = now + sweep_interval;
+    const auto oldest = now - this->settings.barred_for;
     std::erase_if(
         this->barred, [oldest](const auto& item) { return item.second.last_seen < oldest; });
     std::erase_if(this->served, [oldest](const auto& item) { return item.second < oldest; });
     std::erase_if(this->crashes, [oldest](const auto& item) { return item.second.at < oldest; });
     const auto drop_oldest = [this](auto& items, auto time_of) {
-        while (items.size() > this->settings.most_kept) {
+        while (items.size() > this->settings.max_kept) {
             items.erase(std::ranges::min_element(items, {}, time_of));
         }
     };
--- a/source/core/routing/crash_tracker.hpp
+++ b/source/core/routing/crash_tracker.hpp
@@ -18,138 +18,148 @@
 using common::time_point;
 
 struct crash_options {
-    /// Servers that must have ended under a request. Two may be bad luck: a second send after a
-    /// crash goes where others go, and servers that fail together fail one after the other.
-    std::size_t least_crashes = 3;
-    /// As many more are asked for as end under no suspect meanwhile, up to this: while servers end
-    /// for another reason, some requests are there each time. A limit, since a request that ends
-    /// servers must be found then, too.
-    std::size_t most_more_crashes = 3;
-    /// Losses at a server this close together have one cause, its end.
-    std::chrono::milliseconds together{300};
-    /// Of crashes this close together two count for a request at the most, unless it was sent to
-    /// the next server after the one before had ended: many copies of a harmless one are at several
-    /// servers when a rack fails, and some of them are served elsewhere at once.
-    std::chrono::milliseconds one_moment{50};
-    /// From a crash until it counts, so that all entries' words about it are there: who else was
-    /// running at that server decides.
-    std::chrono::milliseconds settles_after{300};
-    /// A request that ended servers is refused until it has not come for so long. Longer than a
-    /// caller or its job queue goes on trying, and than servers take to be mended.
-    std::chrono::milliseconds remembered{std::chrono::minutes{10}};
-    /// Of each kind of thing that is kept; the oldest go first. More servers than fail at once, and
-    /// a bound on what callers can make an entry hold.
-    std::size_t most_kept = 1024;
+    /// Server crashes that a request must be involved in before it is barred. Two may be a
+    /// coincidence: a request that is resent after a crash goes to the same servers as others, and
+    /// servers that fail together fail one after the other.
+    std::size_t min_crashes = 3;
+    /// `min_crashes` rises by one for each crash in the meantime that involves no suspect, up to
+    /// this number. While servers crash for another reason, some requests are present each time.
+    /// Limited so that a request that crashes servers is found at such times too.
+    std::size_t max_extra_crashes = 3;
+    /// Losses at one server within this time share one cause: the server's end.
+    std::chrono::milliseconds correlation_window{300};
+    /// Of the crashes within this time, at most two count for a request, unless it was sent to the
+    /// next server after the previous one had crashed. Several copies of a harmless request may be
+    /// at different servers when a rack fails, and some of them are served elsewhere at once.
+    std::chrono::milliseconds burst_window{50};
+    /// Delay until a crash is evaluated, so that the reports of all entries have arrived: the other
+    /// requests in flight at that server decide the result.
+    std::chrono::milliseconds settle_time{300};
+    /// A barred request is refused until it has not been seen for this time. Longer than a caller
+    /// or its job queue keeps retrying, and than a repair of the servers takes.
+    std::chrono::milliseconds barred_for{std::chrono::minutes{10}};
+    /// Limit for each of the collections below; the oldest entries are evicted first. More than the
+    /// number of servers that fail at once, and a bound on the memory that callers can make an
+    /// entry use.
+    std::size_t max_kept = 1024;
 };
 
-/// A request that was lost with its server, as entries tell each other.
+/// A request that was lost together with its server, as sent between entries.
 struct loss_report {
-    /// 0: nobody's request; connections to the server are refused.
-    request_fingerprint print;
-    /// `hash_of` the server's start.
+    /// 0: no request; the server refuses connections.
+    request_fingerprint fingerprint;
+    /// `hash_of` the server instance.
     std::uint64_t server = 0;
     std::chrono::milliseconds age{0};
-    /// Since it was sent to that server.
+    /// Time since the request was sent to that server.
     std::chrono::milliseconds sent_age{0};
 };
 
-/// A suspect that was served, and how long ago.
+/// A suspected request that was served, and how long ago.
 struct served_report {
-    request_fingerprint print;
+    request_fingerprint fingerprint;
     std::chrono::milliseconds age{0};
 };
 
-/// A request that is barred.
+/// A barred request, as sent between entries.
 struct barred_report {
-    request_fingerprint print;
-    /// Since it was barred, and since it came last.
+    request_fingerprint fingerprint;
+    /// Time since the request was barred, and since it was last received.
     std::chrono::milliseconds age{0};
     std::chrono::milliseconds unseen{0};
-    /// The store has it.
+    /// Whether the store holds this record.
     bool is_recorded = false;
 };
 
-/// A request that is barred from now on, and why.
+/// A newly barred request, and the evidence against it.
 struct barred_request {
-    request_fingerprint print;
-    /// Servers that ended under it, and that ended meanwhile under no suspect.
+    request_fingerprint fingerprint;
+    /// Crashes that involved the request, and crashes in the meantime without any suspect.
     std::size_t crashes = 0;
     std::size_t others = 0;
-    /// This entry has lost it itself.
+    /// Whether this entry lost the request itself.
     bool is_own = false;
 };
 
-/// Finds requests that end the servers which run them, so that they are sent to none.
+/// Detects requests that crash the servers which execute them, so that they are no longer sent to
+/// any server.
 ///
-/// A server that ends takes all with it that it was running; each of these is a suspect. The
-/// request that ended it is a suspect of each such crash, whoever else was there, and is never
-/// served. So a request is barred when it was there at several crashes, and at each of them more
-/// often than anybody else who was; what has been served once is no suspect. Judged by a request's
-/// own losses alone, harmless ones would be barred by the dozen: while servers end one after the
-/// other, the same ones lose three and four.
+/// A server that crashes loses all requests that it was executing; each of them is a suspect. The
+/// request that caused the crash is a suspect of every such crash, whichever others are, and is
+/// never served. A request is therefore barred when it was involved in several crashes, and in more
+/// of them than any other request involved in each; a request that has been served is no suspect.
+/// Judged by a request's own losses alone, dozens of harmless requests would be barred: while
+/// servers crash one after the other, the same requests are lost three or four times.
 ///
-/// A loss alone is no crash, since connections break too: another request was lost at that server
-/// in the same moment, or nobody listens there any more.
+/// One loss alone is no crash, since connections also break for other reasons. A crash needs a
+/// second request lost at that server at the same time, or a server that no longer accepts
+/// connections.
 class crash_tracker {
 public:
     explicit crash_tracker(crash_options options) : settings(options) {}
 
-    /// The connection to the server ended in the midst of the request, which was sent at `sent`.
+    /// Records that the connection to the server was lost during the request, which was sent at
+    /// `sent`.
     auto note_lost(
-        request_fingerprint print, const server_instance& server, time_point sent, time_point now)
-        -> void;
+        request_fingerprint fingerprint,
+        const server_instance& server,
+        time_point sent,
+        time_point now) -> void;
 
-    /// No connection to the server could be opened.
+    /// Records that the server accepts no connections.
     auto note_down(const server_instance& server, time_point now) -> void;
 
-    /// Somebody listens at the server: it has not ended.
+    /// Records that the server accepts connections, so it has not crashed.
     auto note_alive(const server_instance& server) -> void;
 
-    /// Servers at which this entry has lost something since the last call, and of which it is not
-    /// known whether they have ended. Where a server ran nothing else, nobody else says so.
-    auto take_doubtful() -> std::vector<server_instance>;
+    /// Returns and clears the servers at which this entry lost a request since the last call and
+    /// that are neither known to have crashed nor to be alive. The caller has to probe them: if a
+    /// server was executing nothing else, no other report about it arrives.
+    auto take_unconfirmed() -> std::vector<server_instance>;
 
-    /// The server has answered a request to the end.
-    auto note_served(request_fingerprint print, const server_instance& server, time_point now)
+    /// Records that the server answered a request completely.
+    auto note_served(request_fingerprint fingerprint, const server_instance& server, time_point now)
         -> void;
 
-    /// Whether `note_served` has anything to learn: prints cost time, and calm days need none.
+    /// Whether `note_served` needs to be called at all. Fingerprints are costly, and are not needed
+    /// while there are no suspects.
     [[nodiscard]] auto has_suspects() const -> bool
     {
         return !this->crashes.empty() || !this->barred.empty();
     }
 
-    /// Weighs what has come since the last time. Gives the requests that are barred from now on.
-    auto judge(time_point now) -> std::vector<barred_request>;
+    /// Evaluates the evidence since the last call. Returns the newly barred requests.
+    auto find_barred(time_point now) -> std::vector<barred_request>;
 
     [[nodiscard]] auto has_barred() const -> bool { return !this->barred.empty(); }
 
-    [[nodiscard]] auto is_barred(request_fingerprint print) const -> bool
+    [[nodiscard]] auto is_barred(request_fingerprint fingerprint) const -> bool
     {
-        return this->barred.contains(print);
+        return this->barred.contains(fingerprint);
     }
 
-    /// A barred request has come again.
-    auto note_refused(request_fingerprint print, time_point now) -> void;
+    /// Records that a barred request was received again.
+    auto note_refused(request_fingerprint fingerprint, time_point now) -> void;
 
-    /// Another entry, or the store, knows that the request ends servers. True if that is new.
-    auto hear_barred(const barred_report& told, time_point now) -> bool;
+    /// Applies a barred request reported by another entry or by the store. Returns true if it was
+    /// not known here.
+    auto apply_barred(const barred_report& report, time_point now) -> bool;
 
-    /// A barred request that the store is not known to have; none as a rule.
+    /// Returns a barred request that is not known to be in the store; usually there is none.
     [[nodiscard]] auto unrecorded(time_point now) const -> std::optional<barred_report>;
-    auto note_recorded(request_fingerprint print) -> void;
-    /// The store may have lost them all.
+    auto note_recorded(request_fingerprint fingerprint) -> void;
+    /// Marks all barred requests as not recorded, since the store may have lost them.
     auto forget_recorded() -> void;
 
-    /// What this entry has noted since the last call, for all peers.
+    /// Returns and clears what this entry recorded since the last call, to be sent to all peers.
     auto take_losses(time_point now) -> std::vector<loss_report>;
     auto take_served(time_point now) -> std::vector<served_report>;
 
-    auto hear_losses(const std::vector<loss_report>& losses, time_point now) -> void;
-    auto hear_served(const std::vector<served_report>& told, time_point now) -> void;
+    auto apply_losses(const std::vector<loss_report>& losses, time_point now) -> void;
+    auto apply_served(const std::vector<served_report>& reports, time_point now) -> void;
 
-    /// Requests barred here, the last refused first, `most` at most.
-    [[nodiscard]] auto tell_barred(std::size_t most, time_point now) const
+    /// Returns at most `most` barred requests, the most recently refused first.
+    [[nodiscard]] auto make_barred_reports(std::size_t most, time_point now) const
         -> std::vector<barred_report>;
 
     [[nodiscard]] auto barred_count() const -> std::size_t { return this->barred.size(); }
@@ -158,67 +168,69 @@
     struct lost_request {
         time_point at;
         time_point sent;
-        /// Here, and not at another entry.
+        /// Whether this entry lost it, not another one.
         bool is_own = false;
     };
 
     using suspect_map = std::map<request_fingerprint, lost_request>;
 
-    /// A server that may have ended.
+    /// A server that may have crashed.
     struct crash {
         time_point at;
-        /// What it was running.
+        /// Requests that it was executing.
         suspect_map suspects;
         bool is_down = false;
     };
 
-    struct barred_since {
+    struct barred_entry {
         time_point at;
         time_point last_seen;
         bool is_recorded = false;
     };
 
-    struct untold_loss {
-        request_fingerprint print;
+    struct unsent_loss {
+        request_fingerprint fingerprint;
         std::uint64_t server = 0;
         lost_request how;
     };
 
     using crash_counts = std::unordered_map<request_fingerprint, std::size_t>;
 
-    auto note(request_fingerprint print, std::uint64_t server, lost_request how, time_point now)
+    auto
+    note(request_fingerprint fingerprint, std::uint64_t server, lost_request how, time_point now)
         -> void;
-    /// Whether another suspect of the crash was in as many crashes as `than`, or more.
+    /// Whether another suspect of the crash was involved in at least as many crashes as `than`.
     [[nodiscard]] static auto
     has_likelier(const crash& one, request_fingerprint than, const crash_counts& counts) -> bool;
-    auto absolve(request_fingerprint print, time_point at, time_point now) -> void;
+    auto clear_suspect(request_fingerprint fingerprint, time_point at, time_point now) -> void;
     [[nodiscard]] auto is_crash(const crash& one) const -> bool;
     [[nodiscard]] auto is_explained(const crash& one) const -> bool;
-    /// Crashes that no barred request explains, the oldest first.
+    /// Crashes that no barred request explains, oldest first.
     [[nodiscard]] auto unexplained() const -> std::vector<const crash*>;
     [[nodiscard]] static auto count(const std::vector<const crash*>& all) -> crash_counts;
-    [[nodiscard]] auto weigh(
-        request_fingerprint print,
+    [[nodiscard]] auto count_evidence(
+        request_fingerprint fingerprint,
         const std::vector<const crash*>& all,
         const crash_counts& counts,
         time_point now) const -> barred_request;
-    auto bar(request_fingerprint print, const barred_since& how) -> bool;
-    auto forget(time_point now) -> void;
+    auto bar(request_fingerprint fingerprint, const barred_entry& how) -> bool;
+    auto expire(time_point now) -> void;
 
     crash_options settings;
-    /// By `hash_of` the server's start.
+    /// By `hash_of` the server instance.
     std::unordered_map<std::uint64_t, crash> crashes;
-    std::map<request_fingerprint, barred_since> barred;
-    /// When suspects were served.
+    std::map<request_fingerprint, barred_entry> barred;
+    /// When each suspect was last served.
     std::map<request_fingerprint, time_point> served;
-    std::set<server_instance> doubtful;
-    std::vector<untold_loss> untold_losses;
-    std::vector<std::pair<request_fingerprint, time_point>> untold_served;
-    /// What came until `evidence_at` has been weighed once it was settled: else each call would
-    /// weigh the losses of the last ten minutes.
-    time_point evidence_at{};
-    time_point judged_at{};
-    time_point forgets_at{};
+    std::set<server_instance> unconfirmed;
+    std::vector<unsent_loss> unsent_losses;
+    std::vector<std::pair<request_fingerprint, time_point>> unsent_served;
+    /// Time of the newest evidence. Once it has settled and been evaluated, `find_barred` does
+    /// nothing until more arrives; otherwise each call would process the losses of the last ten
+    /// minutes.
+    time_point new_evidence_at{};
+    time_point evaluated_at{};
+    time_point next_sweep_at{};
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/departure_tracker.hpp
+++ b/source/core/routing/departure_tracker.hpp
@@ -13,37 +13,40 @@
 
 using common::time_point;
 
-/// The end of a registration, as an entry tells those that are cut off from the store.
+/// The end of a registration, as sent to entries that have lost contact with the store.
 struct ended_report {
-    /// `hash_of` the start.
+    /// `hash_of` the server instance.
     std::uint64_t server = 0;
-    /// Position in the list's stream behind what was read.
+    /// Position in the server list's stream after the last record read.
     std::uint64_t read_to = 0;
 };
 
-/// Starts of servers that have said that they leave, or have ended: what peers are told of it, and
-/// what is remembered of it here.
+/// Tracks server instances that announced that they leave, or whose registration ended: both for
+/// reports to peers and for queries by this entry.
 class departure_tracker {
 public:
-    auto note_leaving(const server_instance& start, time_point now) -> void;
+    auto note_leaving(const server_instance& instance, time_point now) -> void;
 
-    /// Another entry has told of its end, or another server answers at its address.
-    auto note_ended(const server_instance& start, time_point now) -> void;
+    /// Records an end that another entry reported, or that shows because another server answers at
+    /// the address.
+    auto note_ended(const server_instance& instance, time_point now) -> void;
 
-    /// The end of its registration, which peers are told. `read_to` as in `ended_report`.
-    auto note_end_read(const server_instance& start, std::uint64_t read_to, time_point now) -> void;
+    /// Records the end of a registration that this entry read, to be reported to peers. `read_to`
+    /// as in `ended_report`.
+    auto note_end_read(const server_instance& instance, std::uint64_t read_to, time_point now)
+        -> void;
 
-    /// Hashes of the starts that have said that they leave, the newest ones.
+    /// Hashes of the most recent instances that announced that they leave.
     [[nodiscard]] auto leaving() const -> std::vector<std::uint64_t>;
 
-    /// Registrations that ended in the last seconds.
+    /// Registrations that ended within the last seconds.
     [[nodiscard]] auto ended(time_point now) const -> std::vector<ended_report>;
 
-    /// Whether this start ended in the last minutes.
-    [[nodiscard]] auto has_ended(const server_instance& start) const -> bool;
+    /// Whether this instance ended within the last minutes.
+    [[nodiscard]] auto has_ended(const server_instance& instance) const -> bool;
 
-    /// Forgets what peers need not be told any more.
-    auto forget_told(time_point now) -> void;
+    /// Removes what need no longer be reported to peers.
+    auto expire_reports(time_point now) -> void;
 
 private:
     struct left_server {
@@ -52,23 +55,23 @@
     };
 
     struct ended_server {
-        ended_report word;
+        ended_report report;
         time_point at;
     };
 
-    /// Each with the newest last.
+    /// Newest last, in both queues.
     std::deque<left_server> newest_leaving;
     std::deque<ended_server> newest_ended;
-    /// The store may come back from an older copy of itself, in which these stand as ready.
-    std::deque<left_server> ended_starts;
+    /// Instances that ended. A store restored from an older copy may list them as ready.
+    std::deque<left_server> ended_instances;
 };
 
-/// A server that left is remembered for so long after the last word that it does. Words of an
-/// earlier moment arrive for some seconds, from a store whose list lags or a peer that stood still.
-inline constexpr std::chrono::minutes left_kept_for{5};
+/// How long a server that left is remembered after the last report of it. Older reports keep
+/// arriving for some seconds, from a store whose list lags or from a peer that was paused.
+inline constexpr std::chrono::minutes left_retention{5};
 
-/// So many are remembered at the most, 0.6 MB: in five minutes all of the 620 servers that the
-/// design is for may be replaced twice.
-inline constexpr std::size_t most_left = 2048;
+/// Maximum number of departed servers that are remembered (0.6 MB): enough for all of the 620
+/// servers that the design is for to be replaced twice within five minutes.
+inline constexpr std::size_t max_left = 2048;
 
 } // namespace reedramp::routing
--- a/source/core/routing/evacuation_registry.cpp
+++ b/source/core/routing/evacuation_registry.cpp
@@ -15,13 +15,13 @@
     return this->change_to({known.evacuated.begin(), known.evacuated.end()});
 }
 
-auto evacuation_registry::follow(const std::vector<evacuation_order>& orders, stream_position end)
-    -> evacuation_change
+auto evacuation_registry::apply_orders(
+    const std::vector<evacuation_order>& orders, stream_position end) -> evacuation_change
 {
     auto next = this->current;
     for (const auto& order : orders) {
         if (order.at < this->known_to) {
-            // Another entry read further, and has told what came of it.
+            // A peer's report, read up to a later position, already includes this order.
             continue;
         }
         if (order.is_evacuated) {
@@ -35,7 +35,7 @@
     return this->change_to(std::move(next));
 }
 
-auto evacuation_registry::tell() const -> evacuation_report
+auto evacuation_registry::make_report() const -> evacuation_report
 {
     return {this->known_to, {this->current.begin(), this->current.end()}};
 }
@@ -44,7 +44,7 @@
 {
     evacuation_change change;
     std::ranges::set_difference(next, this->current, std::back_inserter(change.evacuated));
-    std::ranges::set_difference(this->current, next, std::back_inserter(change.taken_back));
+    std::ranges::set_difference(this->current, next, std::back_inserter(change.lifted));
     this->current = std::move(next);
     return change;
 }
--- a/source/core/routing/evacuation_registry.hpp
+++ b/source/core/routing/evacuation_registry.hpp
@@ -8,48 +8,49 @@
 
 namespace reedramp::routing {
 
-/// The operators' word on one data centre.
+/// An operator's order to evacuate one data centre, or to lift its evacuation.
 struct evacuation_order {
     common::data_centre_id data_centre;
-    /// False takes it back.
+    /// False lifts the evacuation.
     bool is_evacuated = true;
-    /// Of the record in the operators' stream.
+    /// Position of the record in the operators' stream.
     stream_position at;
 };
 
-/// All data centres that are evacuated, as one entry knows it and tells the others.
+/// All evacuated data centres, as known by one entry and sent to its peers.
 struct evacuation_report {
-    /// What the operators wrote before this position is taken into account. 0: nothing is known.
+    /// All orders before this position in the operators' stream are included. 0: nothing is known.
     stream_position known_to;
     std::vector<common::data_centre_id> evacuated;
 };
 
-/// Data centres that were evacuated, or taken back, by a word.
+/// Data centres whose evacuation state a report or order changed.
 struct evacuation_change {
     std::vector<common::data_centre_id> evacuated;
-    std::vector<common::data_centre_id> taken_back;
+    std::vector<common::data_centre_id> lifted;
 
     [[nodiscard]] auto is_empty() const -> bool
     {
-        return this->evacuated.empty() && this->taken_back.empty();
+        return this->evacuated.empty() && this->lifted.empty();
     }
 };
 
-/// Which data centres get nothing until the operators take them back.
+/// The data centres that receive no requests until the operators lift their evacuation.
 ///
-/// The set follows from the operators' stream up to a position alone. So the set that is known up
-/// to the later position holds, whoever tells it and in whatever order words come, and an entry
-/// that missed a removal hears of it without a word on the removal itself.
+/// The set is determined entirely by the operators' stream up to a position. The set with the later
+/// position is therefore valid, whichever entry reports it and in whatever order reports arrive,
+/// and an entry that missed the order to lift an evacuation learns of it from the set alone.
 class evacuation_registry {
 public:
-    /// The whole set: a reading of all keys, or what another entry knows.
+    /// Replaces the whole set if `known` has a later position: after reading all keys, or on a
+    /// peer's report.
     auto replace(const evacuation_report& known) -> evacuation_change;
 
-    /// What a reading gave behind this entry's last one, up to `end`.
-    auto follow(const std::vector<evacuation_order>& orders, stream_position end)
+    /// Applies the orders that were read after this entry's previous position, up to `end`.
+    auto apply_orders(const std::vector<evacuation_order>& orders, stream_position end)
         -> evacuation_change;
 
-    [[nodiscard]] auto tell() const -> evacuation_report;
+    [[nodiscard]] auto make_report() const -> evacuation_report;
 
     [[nodiscard]] auto evacuated() const -> const std::set<common::data_centre_id>&
     {
--- a/source/core/routing/event_splitter.cpp
+++ b/source/core/routing/event_splitter.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// The longest event that is waited for. Events of today's engines have some hundred bytes; a
-/// server that sends on and on without ending one would otherwise fill the entry's memory.
-constexpr std::size_t most_event_bytes = 1024UL * 1024UL;
+/// Maximum size of an event. Engines' events have some hundred bytes; a server that never ends an
+/// event would otherwise fill the entry's memory.
+constexpr std::size_t max_event_bytes = 1024UL * 1024UL;
 
-/// The blank line that ends an event; its position and length.
+/// Position and length of the blank line that ends an event.
 struct event_end {
     std::size_t at = std::string::npos;
     std::size_t size = 0;
@@ -54,8 +54,8 @@
 
 auto event_splitter::add(std::string_view bytes, std::string& out) -> bool
 {
-    this->rest += bytes;
-    std::string_view unread = this->rest;
+    this->partial += bytes;
+    std::string_view unread = this->partial;
     bool in_order = true;
     while (in_order) {
         const auto end = find_end(unread);
@@ -63,24 +63,24 @@
             break;
         }
         const auto event = unread.substr(0, end.at + end.size);
-        in_order = this->take_event(event);
+        in_order = this->accept_event(event);
         if (in_order) {
             out += event;
             unread.remove_prefix(event.size());
         }
     }
-    this->rest.erase(0, this->rest.size() - unread.size());
-    return in_order && this->rest.size() <= most_event_bytes;
+    this->partial.erase(0, this->partial.size() - unread.size());
+    return in_order && this->partial.size() <= max_event_bytes;
 }
 
-auto event_splitter::take_event(std::string_view event) -> bool
+auto event_splitter::accept_event(std::string_view event) -> bool
 {
     const auto id = id_of(event);
     if (!id) {
         return true;
     }
-    // A stream that begins at -1 takes any first id; which number servers begin with is theirs.
-    // Subtracted, not added: a caller may name the largest number that there is.
+    // A stream that starts at -1 accepts any first id, since servers choose the first number. The
+    // ids are subtracted, not incremented, because a caller may name the largest possible number.
     const bool is_next = *id > this->newest_id && *id - this->newest_id == 1;
     const bool follows = this->newest_id < 0 || is_next;
     if (follows) {
--- a/source/core/routing/home_regions.hpp
+++ b/source/core/routing/home_regions.hpp
@@ -10,8 +10,8 @@
 
 using region_map = std::map<common::data_centre_id, common::region_id>;
 
-/// Leaves the servers in one of `homes`; all, where these are empty. A data centre of no known
-/// region lies in none.
+/// Keeps the servers that are in one of the regions `homes`; keeps all if `homes` is empty. A data
+/// centre whose region is unknown is in none of them.
 auto keep_at_home(
     std::vector<const registration*>& usable,
     const std::vector<common::region_id>& homes,
--- a/source/core/routing/list_freshness.cpp
+++ b/source/core/routing/list_freshness.cpp
@@ -13,21 +13,21 @@
     if (has_changed || !this->has_read) {
         this->changed = std::max(this->changed, end);
     }
-    // The store answers with all that it has. A change beyond that, told before the question, was
-    // never there; believed, it would have this entry read again and again.
+    // The store returns everything that it has, so a change beyond `end` that was reported before
+    // this query does not exist. Keeping it would make this entry read again and again.
     if (this->changed > end && this->lacking_since < asked_at.value_or(now)) {
         this->changed = end;
     }
     this->has_read = true;
     this->own_read_at = now;
-    this->current_at = std::max(asked_at.value_or(now), now - this->settings.longest_answer);
+    this->current_at = std::max(asked_at.value_or(now), now - this->settings.max_answer_age);
     this->own_readings += 1;
     this->current_reader = this->settings.reader;
     this->current_number = this->own_readings;
     this->contact.note_answer(now);
 }
 
-auto list_freshness::note_told(std::uint64_t end) -> void
+auto list_freshness::note_handed_on(std::uint64_t end) -> void
 {
     this->position = end;
     this->has_read = true;
@@ -36,57 +36,58 @@
 auto list_freshness::note_new_era(time_point now) -> void
 {
     this->contact.note_return(now);
-    // Where the list ended before says nothing of where it ends now.
+    // Positions of the previous era say nothing about the end of the list now.
     this->changed = 0;
 }
 
-auto list_freshness::is_news(const freshness_report& told) -> bool
+auto list_freshness::is_new_reading(const freshness_report& report) -> bool
 {
-    if (told.reader == 0) {
+    if (report.reader == 0) {
         return true;
     }
-    if (told.reader == this->settings.reader) {
-        return false; // Its own reading, passed back.
+    if (report.reader == this->settings.reader) {
+        return false; // Its own reading, returned by a peer.
     }
-    // Each process is another reader; those that have ended are not worth keeping.
-    constexpr std::size_t most_readers = 2048;
-    if (this->newest_of.size() >= most_readers) {
+    // Each process has its own reader id; those that have ended need not be kept.
+    constexpr std::size_t max_readers = 2048;
+    if (this->newest_of.size() >= max_readers) {
         this->newest_of.clear();
     }
-    auto& newest = this->newest_of[told.reader];
-    const bool is_new = told.number > newest;
-    newest = std::max(newest, told.number);
+    auto& newest = this->newest_of[report.reader];
+    const bool is_new = report.number > newest;
+    newest = std::max(newest, report.number);
     return is_new;
 }
 
-auto list_freshness::hear(const freshness_report& told, time_point now) -> bool
+auto list_freshness::apply_report(const freshness_report& report, time_point now) -> bool
 {
     const auto era_of = [](std::uint64_t at) {
         return stream_position{at}.era();
     };
-    if (this->has_read && era_of(told.changed) < era_of(this->position)) {
-        return false; // The sender has not heard yet that the store came back from an older copy.
+    if (this->has_read && era_of(report.changed) < era_of(this->position)) {
+        return false; // The sender does not know yet that the store was restored from an older
+                      // copy.
     }
-    const auto read_at = now - std::max(told.age, std::chrono::milliseconds{0});
-    const bool is_new = this->is_news(told);
-    this->contact.hear(read_at - told.steady, read_at, now, is_new);
-    if (told.changed > this->changed) {
+    const auto read_at = now - std::max(report.age, std::chrono::milliseconds{0});
+    const bool is_new = this->is_new_reading(report);
+    this->contact.apply_report(read_at - report.steady, read_at, now, is_new);
+    if (report.changed > this->changed) {
         const bool lacked_none = !this->lacks_change();
-        this->changed = told.changed;
+        this->changed = report.changed;
         this->lacking_since = lacked_none ? now : this->lacking_since;
     }
-    const bool shows_it = this->has_read && told.changed <= this->position;
-    if (is_new && shows_it && read_at > this->current_at) {
+    const bool is_covered = this->has_read && report.changed <= this->position;
+    if (is_new && is_covered && read_at > this->current_at) {
         this->current_at = read_at;
-        this->current_reader = told.reader;
-        this->current_number = told.number;
+        this->current_reader = report.reader;
+        this->current_number = report.number;
     }
     return is_new;
 }
 
-auto list_freshness::tell(time_point now) const -> freshness_report
+auto list_freshness::make_report(time_point now) const -> freshness_report
 {
-    // What this entry has only been told of is not passed on as known: its list lacks it.
+    // A change that was only reported is not passed on as known: this entry's list lacks it.
     const auto known = std::min(this->changed, this->position);
     if (!this->has_read) {
         return {known, std::chrono::hours{1}, {}};
@@ -109,14 +110,15 @@
     if (!this->has_read) {
         return true;
     }
-    if (this->lacks_change() && now - this->lacking_since >= this->settings.hand_on_time) {
+    if (this->lacks_change() && now - this->lacking_since >= this->settings.forward_wait) {
         return true;
     }
-    const auto steps = static_cast<int>(std::min(rank, this->settings.most_steps));
-    const auto later = steps == 0 ? common::duration{0}
-                                  : this->settings.lead + this->settings.rank_step * (steps - 1);
-    const auto others = is_reader ? common::duration{0} : this->settings.others_wait;
-    return now - this->current_at >= this->settings.period + later + others;
+    const auto steps = static_cast<int>(std::min(rank, this->settings.max_rank_steps));
+    const auto later = steps == 0
+                           ? common::duration{0}
+                           : this->settings.first_wait + this->settings.rank_step * (steps - 1);
+    const auto reader_wait = is_reader ? common::duration{0} : this->settings.non_reader_wait;
+    return now - this->current_at >= this->settings.period + later + reader_wait;
 }
 
 } // namespace reedramp::routing
--- a/source/core/routing/list_journal.cpp
+++ b/source/core/routing/list_journal.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-/// Twice the servers that the design is for, all of which may be replaced in one roll-out: some 300
-/// KB. Who lacks more asks for the whole list, which is no longer than that.
-constexpr std::size_t most_kept = 1240;
+/// Twice the number of servers that the design is for, all of which may be replaced in one
+/// roll-out: about 300 KB. An entry that lacks more requests the whole list, which is no longer
+/// than that.
+constexpr std::size_t max_changes = 1240;
 
 } // namespace
 
@@ -23,7 +24,7 @@
     for (const auto& change : read) {
         this->changes.push_back({end, change});
     }
-    while (this->changes.size() > most_kept) {
+    while (this->changes.size() > max_changes) {
         this->kept_from = this->changes.front().end;
         this->changes.pop_front();
     }
--- a/source/core/routing/list_journal.hpp
+++ b/source/core/routing/list_journal.hpp
@@ -10,28 +10,28 @@
 
 namespace reedramp::routing {
 
-/// The newest changes of the servers' list as this entry has taken them in, for entries that know
-/// the list up to some earlier position and ask this one in place of the store.
+/// The most recent changes of the server list that this entry applied, for entries that have the
+/// list up to an earlier position and ask this one instead of the store.
 class list_journal {
 public:
-    /// The list was read from `from` up to `end`, and these are all changes in between.
+    /// Adds all changes between `from` and `end`.
     auto
     note(std::uint64_t from, std::uint64_t end, const std::vector<registration_change>& changes)
         -> void;
 
-    /// All changes after `position`, in their order; none when some of them are not kept, or when
-    /// this entry does not know that position yet.
+    /// Returns all changes after `position`, in order. Returns none if some of them are no longer
+    /// kept, or if this entry has not reached that position.
     [[nodiscard]] auto since(std::uint64_t position) const
         -> std::optional<std::vector<registration_change>>;
 
 private:
     struct kept_change {
-        /// Position behind the reading that brought it.
+        /// Position after the reading that returned the change.
         std::uint64_t end = 0;
         registration_change change;
     };
 
-    /// Changes after this position are kept.
+    /// Changes after this position are available.
     std::uint64_t kept_from = 0;
     std::uint64_t known_to = 0;
     bool is_empty = true;
--- a/source/core/routing/load_effect.cpp
+++ b/source/core/routing/load_effect.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-/// Tokens, of the largest model, that an engine reads in about one step. Fewer are not noticed.
+/// Prompt tokens, of the largest model, that an engine reads in about one step. Fewer have no
+/// noticeable effect.
 constexpr double tokens_in_a_step = 300.0;
-/// Streams that the effect remembers: some ten seconds at a busy entry.
+/// Number of streams that the estimate averages over: some ten seconds at a busy entry.
 constexpr double memory = 300.0;
-/// Known before the first stream: what engines that read prompts in chunks between their steps
-/// showed on three services, 0.26 to 0.49, and the streams that it counts for.
-constexpr double usual_slope = 0.33;
+/// Prior estimate, and the number of streams that it counts for. Engines that read prompts in
+/// chunks between their steps showed 0.26 to 0.49 on three services.
+constexpr double prior_slope = 0.33;
 constexpr double prior_weight = 20.0;
-/// Load never makes an engine faster, nor its pauses longer than in proportion.
-constexpr double most_slope = 1.0;
-/// A route's means are used once they are known this well.
-constexpr double least_known = 5.0;
-/// What is further off comes from something else: a server that hung, a clock that stepped.
-constexpr double largest_distance = 4.0;
+/// The slope is at least 0 and at most 1: load never makes an engine faster, nor pauses longer than
+/// in proportion.
+constexpr double max_slope = 1.0;
+/// Minimum weight of a route's means before they are used.
+constexpr double min_weight = 5.0;
+/// Larger deviations have another cause: a server that hung, or a clock that stepped.
+constexpr double max_distance = 4.0;
 
 auto log_load(double reading) -> double
 {
@@ -37,10 +39,10 @@
     }
     auto& means = this->routes[route];
     const double load = log_load(reading);
-    const bool is_known = means.load.weight() >= least_known;
+    const bool is_known = means.load.weight() >= min_weight;
     const double load_distance = load - means.load.mean();
     const double pause_distance = log_pause - means.pause.mean();
-    if (is_known && std::abs(pause_distance) <= largest_distance) {
+    if (is_known && std::abs(pause_distance) <= max_distance) {
         constexpr double kept = 1.0 - 1.0 / memory;
         this->load_squares = this->load_squares * kept + load_distance * load_distance;
         this->products = this->products * kept + load_distance * pause_distance;
@@ -53,8 +55,8 @@
 auto load_effect::slope() const -> double
 {
     const double found =
-        (this->products + prior_weight * usual_slope) / (this->load_squares + prior_weight);
-    return std::clamp(found, 0.0, most_slope);
+        (this->products + prior_weight * prior_slope) / (this->load_squares + prior_weight);
+    return std::clamp(found, 0.0, max_slope);
 }
 
 auto load_effect::without_load(double reading, double log_pause) const -> double
--- a/source/core/routing/load_tracker.cpp
+++ b/source/core/routing/load_tracker.cpp
@@ -21,13 +21,13 @@
     found->second.requests -= 1.0;
     found->second.work -= work;
     found->second.reading -= reading;
-    constexpr double none = 0.5; // Half a request: sums of fractions never end at zero.
+    constexpr double none = 0.5; // Half a request: sums of fractions never reach exactly zero.
     if (found->second.requests < none) {
         this->ours.erase(found);
     }
 }
 
-auto load_tracker::lighten(const server_instance& server, double work) -> void
+auto load_tracker::reduce_work(const server_instance& server, double work) -> void
 {
     const auto found = this->ours.find(server);
     if (found != this->ours.end()) {
@@ -40,14 +40,14 @@
 {
     for (const auto& one : loads) {
         auto& sum = this->sums[one.server];
-        sum.words += 1;
+        sum.reports += 1;
         sum.load.requests += one.load.requests;
         sum.load.work += one.load.work;
         sum.load.reading += one.load.reading;
     }
 }
 
-auto load_tracker::take_off(const std::vector<load_report>& loads) const -> void
+auto load_tracker::subtract(const std::vector<load_report>& loads) const -> void
 {
     for (const auto& one : loads) {
         const auto found = this->sums.find(one.server);
@@ -55,8 +55,8 @@
             continue;
         }
         auto& sum = found->second;
-        sum.words -= 1;
-        if (sum.words == 0) {
+        sum.reports -= 1;
+        if (sum.reports == 0) {
             this->sums.erase(found);
             continue;
         }
@@ -66,14 +66,14 @@
     }
 }
 
-auto load_tracker::hear(
+auto load_tracker::apply_reports(
     const common::host_id& peer, const std::vector<load_report>& loads, time_point trusted_until)
     -> void
 {
-    auto& words = this->peers[peer];
-    this->take_off(words.loads);
-    words = {trusted_until, loads};
-    this->add(words.loads);
+    auto& report = this->peers[peer];
+    this->subtract(report.loads);
+    report = {trusted_until, loads};
+    this->add(report.loads);
     this->next_expiry = std::min(this->next_expiry, trusted_until);
 }
 
@@ -84,13 +84,13 @@
     }
     this->next_expiry = common::never;
     for (auto each = this->peers.begin(); each != this->peers.end();) {
-        const auto& words = each->second;
-        if (words.trusted_until > now) {
-            this->next_expiry = std::min(this->next_expiry, words.trusted_until);
+        const auto& report = each->second;
+        if (report.trusted_until > now) {
+            this->next_expiry = std::min(this->next_expiry, report.trusted_until);
             ++each;
             continue;
         }
-        this->take_off(words.loads);
+        this->subtract(report.loads);
         each = this->peers.erase(each);
     }
 }
@@ -114,7 +114,7 @@
     return found == this->ours.end() ? server_load{} : found->second;
 }
 
-auto load_tracker::tell() const -> std::vector<load_report>
+auto load_tracker::make_reports() const -> std::vector<load_report>
 {
     std::vector<load_report> all;
     all.reserve(this->ours.size());
--- a/source/core/routing/load_tracker.hpp
+++ b/source/core/routing/load_tracker.hpp
@@ -14,54 +14,54 @@
 
 using common::time_point;
 
-/// Work under way at one server. `work` is in tokens weighted by the model's slowness.
+/// Work in flight at one server. `work` is in tokens, weighted by the model's slowness.
 struct server_load {
     double requests = 0.0;
     double work = 0.0;
-    /// The part of `work` that is prompts not read yet, as far as is known.
+    /// The part of `work` that is prompt tokens not read yet, as far as known.
     double reading = 0.0;
 };
 
-/// What one server has under way from one entry, as that entry tells its peers. Servers are named
-/// by a hash of their id.
+/// The work in flight from one entry at one server, as sent to peers. `server` is a hash of the
+/// server instance.
 struct load_report {
     std::uint64_t server = 0;
     server_load load;
 };
 
-/// Requests under way by server, over all entries.
+/// Tracks the requests in flight at each server, over all entries.
 ///
-/// A server's own reports are some hundred milliseconds old and say nothing of what other entries
-/// have just sent; with them alone, all entries choose the same idle server at once. So entries
-/// tell each other what they have under way.
+/// A server's own reports are some hundred milliseconds old and do not include what other entries
+/// have just sent; if they were used alone, all entries would choose the same idle server at once.
+/// Entries therefore report their requests in flight to each other.
 ///
-/// What peers say is added up as it comes, so that a look at a server costs the same with three
-/// entries as with hundreds: asked of each peer's words anew, a choice among 360 servers took
-/// 37,000 look-ups at 103 entries.
+/// Peers' reports are summed on arrival, so that the cost of a lookup does not depend on the number
+/// of entries: with a lookup in each peer's report, one choice among 360 servers took 37,000
+/// lookups with 103 entries.
 class load_tracker {
 public:
-    /// `reading` of the work is the prompt.
+    /// Adds a request. `reading` is the part of `work` that is the prompt.
     auto begin(const server_instance& server, double work, double reading = 0.0) -> void;
-    /// What is left of the request's work, and of its prompt.
+    /// Removes a request with what remains of its work and of its prompt.
     auto end(const server_instance& server, double work, double reading = 0.0) -> void;
 
-    /// The prompt of a request has been read.
-    auto lighten(const server_instance& server, double work) -> void;
+    /// Removes the work of a prompt that has been read.
+    auto reduce_work(const server_instance& server, double work) -> void;
 
-    /// A peer's words replace its older ones, and count until `trusted_until`: an entry that has
-    /// died has nothing under way.
-    auto hear(
+    /// Replaces a peer's earlier report. The report counts until `trusted_until`, since an entry
+    /// that has failed has nothing in flight.
+    auto apply_reports(
         const common::host_id& peer,
         const std::vector<load_report>& loads,
         time_point trusted_until) -> void;
 
-    /// Own and peers' together.
+    /// Load from this entry and its peers together.
     [[nodiscard]] auto total(const server_instance& server, time_point now) const -> server_load;
 
     [[nodiscard]] auto own(const server_instance& server) const -> server_load;
 
-    /// For the peers.
-    [[nodiscard]] auto tell() const -> std::vector<load_report>;
+    /// Report to send to peers.
+    [[nodiscard]] auto make_reports() const -> std::vector<load_report>;
 
 private:
     struct peer_report {
@@ -69,24 +69,24 @@
         std::vector<load_report> loads;
     };
 
-    /// What all trusted peers have under way at one server.
-    struct peers_sum {
+    /// Work in flight from all trusted peers at one server.
+    struct peer_sum {
         server_load load;
-        /// How many words are in it. With none left the sum is dropped, so that what rounding has
-        /// left of it goes too.
-        std::size_t words = 0;
+        /// Number of reports included. At zero the sum is removed, which also discards the
+        /// accumulated rounding error.
+        std::size_t reports = 0;
     };
 
     auto add(const std::vector<load_report>& loads) const -> void;
-    auto take_off(const std::vector<load_report>& loads) const -> void;
-    /// Takes off what is not trusted any more.
+    auto subtract(const std::vector<load_report>& loads) const -> void;
+    /// Removes reports that are no longer trusted.
     auto expire(time_point now) const -> void;
 
     std::unordered_map<server_instance, server_load> ours;
-    // Sums and what they hold follow the clock alone, also while the book is only looked at.
+    // Expiry depends on the clock alone, so const lookups update these too.
     mutable std::map<common::host_id, peer_report> peers;
-    mutable std::unordered_map<std::uint64_t, peers_sum> sums;
-    /// No words lose their trust before this.
+    mutable std::unordered_map<std::uint64_t, peer_sum> sums;
+    /// No report expires before this.
     mutable time_point next_expiry = common::never;
 };
 
--- a/source/core/routing/model_choice.cpp
+++ b/source/core/routing/model_choice.cpp
@@ -15,22 +15,23 @@
     if (target.count() <= 0) {
         return;
     }
-    // About a second's worth of requests at an entry of today's sites.
+    // Averages over about one second of requests at one entry.
     constexpr double memory = 0.08;
-    // One very late stream says no more than that it was late.
+    // Limits the influence of a single very late stream.
     constexpr double most = 2.0;
     const auto part = static_cast<double>(waited.count()) / static_cast<double>(target.count());
     this->mean += memory * (std::min(part, most) - this->mean);
 }
 
-auto asked_confidence(
+auto required_confidence(
     const model_options& options, const route& on, double level, bool larger_is_late) -> double
 {
     const auto rank_part = static_cast<double>(options.rank_step) * on.priority;
     const auto most = std::max(0.0, static_cast<double>(options.accepted_confidence) - rank_part);
     const auto pressure = level * (options.urgent_pressure + options.rank_pressure * on.priority);
-    const auto left = (options.short_to - pressure) / (options.short_to - options.short_from);
-    return most * std::clamp(left, 0.0, 1.0) * (larger_is_late ? options.late_worth : 1.0);
+    const auto left =
+        (options.scarcity_to - pressure) / (options.scarcity_to - options.scarcity_from);
+    return most * std::clamp(left, 0.0, 1.0) * (larger_is_late ? options.late_value : 1.0);
 }
 
 auto is_accepted(const route& on, std::size_t model, int confidence, double asked) -> bool
--- a/source/core/routing/model_choice.hpp
+++ b/source/core/routing/model_choice.hpp
@@ -9,60 +9,61 @@
 
 namespace reedramp::routing {
 
-/// Which of a route's models answers, where the caller leaves it open.
+/// Settings for the choice among a route's models when the caller names none.
 struct model_options {
-    /// Least confidence, 0 to 100, with which the answer of a model that is not the largest is
-    /// passed on, on the most urgent routes.
+    /// Minimum confidence, 0 to 100, for passing on the answer of a model that is not the largest,
+    /// on routes of the highest priority.
     unsigned accepted_confidence = 65;
-    /// Less is asked for by this for each rank of a route's priority: a larger model costs the same
-    /// for a short tag as for a letter of that size, and there is less to lose.
+    /// Reduction of that confidence for each step down in priority: a larger model costs the same
+    /// for a short tag as for a letter of that size, and a wrong answer costs less there.
     unsigned rank_step = 6;
-    /// What a right answer is worth that comes late, against one on time; a larger model's answer
-    /// that would be late has to be right as much more often than the small one's.
-    double late_worth = 0.5;
-    /// Callers' mean wait for the first event, as a part of its target, from where on less
-    /// confidence is asked for, and where any is enough. A larger model takes ten times the
-    /// engines' time; when that is short, an answer of doubtful worth is better than two late ones.
-    double short_from = 0.35;
-    double short_to = 1.00;
-    /// Waits count this much for the most urgent routes, and by `rank_pressure` more for each rank
-    /// below: the larger model gives way first where there is least to lose.
+    /// Value of a correct answer that is late, relative to one on time. A larger model's answer
+    /// that would be late has to be correct that much more often than the small model's.
+    double late_value = 0.5;
+    /// Callers' mean wait for the first event, as a fraction of its target, from which the required
+    /// confidence falls, and at which it is zero. A larger model takes ten times the engine time;
+    /// when that is scarce, one doubtful answer is better than two late ones.
+    double scarcity_from = 0.35;
+    double scarcity_to = 1.00;
+    /// Weight of the waits on routes of the highest priority; `rank_pressure` is added for each
+    /// step down, so that the larger model is given up first where a wrong answer costs least.
     double urgent_pressure = 1.0;
     double rank_pressure = 0.7;
 };
 
-/// How short the engines are: callers' waits for the first event against the targets, newest
-/// weighted most.
+/// Measures how scarce engine time is: callers' waits for the first event relative to the targets,
+/// as a moving average.
 class wait_gauge {
 public:
     auto note(std::chrono::milliseconds waited, std::chrono::milliseconds target) -> void;
 
-    /// 0 when nothing waits, 1 when the mean wait is the target.
+    /// 0 when no request waits, 1 when the mean wait equals the target.
     [[nodiscard]] auto level() const -> double { return this->mean; }
 
 private:
     double mean = 0.0;
 };
 
-/// The confidence asked for on a route at a level of the gauge, when the larger model's answer
-/// would come on time, or late.
-auto asked_confidence(
+/// Returns the confidence required on a route at a level of the gauge, given whether the larger
+/// model's answer would be late.
+auto required_confidence(
     const model_options& options, const route& on, double level, bool larger_is_late) -> double;
 
-/// The first model to ask: the smallest. It costs and takes a small part of what the largest does,
-/// and with the head of its answer says how sure it is, before the caller has any of it.
+/// Returns the index of the first model to ask: the smallest. It costs and takes a small fraction
+/// of what the largest does, and the head of its response states its confidence before the caller
+/// has received any of it.
 auto first_model(const route& on) -> std::size_t;
 
-/// Whether the answer of `model` is passed on, or dropped for a larger model's.
-/// `confidence` is -1 where the server says none.
+/// Whether the answer of `model` is passed on rather than discarded for a larger model's.
+/// `confidence` is -1 if the server states none.
 auto is_accepted(const route& on, std::size_t model, int confidence, double asked) -> bool;
 
-/// The model to ask after `model`'s answer was dropped: the largest. Those between are little
-/// better than the smallest, and each try takes time.
+/// Returns the index of the model to ask after `model`'s answer was discarded: the largest. Those
+/// in between are little better than the smallest, and each attempt takes time.
 auto next_model(const route& on) -> std::size_t;
 
-/// How much more engine time a token of `model` takes than one of the service's largest model, by
-/// the prices, which follow the time closely. 1 where nothing is known.
+/// Returns the engine time per token of `model` relative to the service's largest model, estimated
+/// from the prices, which follow the time closely. 1 if unknown.
 auto slowness(const service* of, const std::string& model) -> double;
 
 } // namespace reedramp::routing
--- a/source/core/routing/registration.hpp
+++ b/source/core/routing/registration.hpp
@@ -13,39 +13,42 @@
 
 using common::time_point;
 
-/// One start of a backend server, as it has registered itself.
+/// A backend server instance, as registered by the server itself.
 struct registration {
     common::server_id id;
     common::service_name service;
     /// "IP:port".
     std::string address;
     common::data_centre_id data_centre;
-    /// Version of its software.
+    /// Version of the server's software.
     common::version_id version;
     unsigned slots = 1;
     bool is_leaving = false;
-    /// It has just started, and is slower than it will be for so long after this was written.
+    /// Remaining time, from when this was written, during which the server is still warming up and
+    /// slower than later.
     std::chrono::milliseconds cold_for{0};
-    /// The same as a deadline of this process; whoever reads the list sets it.
+    /// `cold_for` as a deadline on this process's clock; set by the reader of the list.
     common::time_point cold_until{};
-    start_time born{0};
-    /// Its start lies ahead of this host's time of day by more than clocks differ; whoever reads
-    /// the list sets it.
-    bool is_born_ahead = false;
-    /// `hash_of` the id, so that ranking hundreds of servers hashes no text; the table sets it.
+    start_time started_at{0};
+    /// Whether its start time is ahead of this host's clock by more than clocks may differ; set by
+    /// the reader of the list.
+    bool starts_in_future = false;
+    /// `hash_of` the id, cached so that ranking hundreds of servers hashes no text; set by the
+    /// table.
     std::uint64_t id_hash = 0;
 
-    [[nodiscard]] auto start() const -> server_instance { return {this->id, this->born}; }
+    [[nodiscard]] auto instance() const -> server_instance { return {this->id, this->started_at}; }
 
     [[nodiscard]] auto is_cold(time_point now) const -> bool { return this->cold_until > now; }
 };
 
-/// A change of the servers' list: a registration, or the end of one.
+/// A change of the server list: a new or updated registration, or the end of one.
 struct registration_change {
     common::server_id id;
-    /// None when the registration is gone.
+    /// Empty if the registration has ended.
     std::optional<registration> now;
-    /// Why the record under that id is no registration; empty if it is one, or is gone.
+    /// Why the record under that id is not a valid registration; empty if it is valid, or has been
+    /// removed.
     std::string problem{};
 };
 
--- a/source/core/routing/request_fingerprint.hpp
+++ b/source/core/routing/request_fingerprint.hpp
@@ -9,13 +9,13 @@
 
 namespace reedramp::routing {
 
-/// A hash of what a request asks and who asks it: equal for a request that comes again under
-/// another attempt id, at any entry. 0 is no request's.
+/// Hash of a request's content and caller: equal at every entry for a request that is repeated
+/// under another attempt id. 0 stands for no request.
 using request_fingerprint = common::strong<struct request_print_tag, std::uint64_t>;
 
-/// What tells one request from another. Ids and time limits of an attempt do not.
+/// The content that distinguishes requests. Attempt ids and time limits are not part of it.
 struct request_content {
-    /// The organisation; empty on an open route.
+    /// Name of the organisation; empty on an open route.
     std::string_view caller;
     std::string_view method;
     std::string_view host;
@@ -23,12 +23,12 @@
     std::string_view body;
 };
 
-/// A cryptographic hash: what is remembered of one caller's request must not meet another's, also
-/// where somebody looks for a body that does.
-auto print_of(const request_content& content) -> request_fingerprint;
+/// Computes the fingerprint. The hash is cryptographic, so that no caller can construct a body that
+/// collides with another caller's request.
+auto fingerprint_of(const request_content& content) -> request_fingerprint;
 
 /// 16 lower-case hexadecimal digits.
-auto to_string(request_fingerprint print) -> std::string;
-auto parse_request_print(std::string_view text) -> std::optional<request_fingerprint>;
+auto to_string(request_fingerprint fingerprint) -> std::string;
+auto parse_request_fingerprint(std::string_view text) -> std::optional<request_fingerprint>;
 
 } // namespace reedramp::routing
--- a/source/core/routing/request_rate.cpp
+++ b/source/core/routing/request_rate.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Time in which a rate of requests forgets; at 10 requests a second an error of a fifth.
+/// Time constant of the average; at 10 requests per second the error is about a fifth.
 constexpr double rate_memory_s = 3.0;
 
 } // namespace
--- a/source/core/routing/request_rate.hpp
+++ b/source/core/routing/request_rate.hpp
@@ -6,7 +6,7 @@
 
 using common::time_point;
 
-/// Requests a second, newest weighted most.
+/// Request rate in requests per second, as an exponentially decaying average.
 class request_rate {
 public:
     auto note(time_point now) -> void;
--- a/source/core/routing/rollout.cpp
+++ b/source/core/routing/rollout.cpp
@@ -39,7 +39,7 @@
 auto is_in_share(std::uint64_t session_hash, double share) -> bool
 {
     constexpr double scale = 1.0 / 18446744073709551616.0; // 2^-64
-    // The largest hashes round up to 1, and would be in no share at all.
+    // The largest hashes round up to 1 and would otherwise be in no share.
     return share >= 1.0 || static_cast<double>(session_hash) * scale < share;
 }
 
--- a/source/core/routing/rollout_guide.cpp
+++ b/source/core/routing/rollout_manager.cpp
@@ -1,4 +1,4 @@
-#include "routing/rollout_guide.hpp"
+#include "routing/rollout_manager.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -9,22 +9,22 @@
 
 namespace {
 
-/// Servers of the new version that get its part of the work, against that part: more than it asks
-/// for, since they read all prompts anew.
+/// Ratio of the new version's share of servers to its share of the work: above 1, since these
+/// servers have no prompts cached.
 constexpr double canary_room = 1.5;
-/// The part is taken to be at least this of the share.
-constexpr double least_canary_part = 0.4;
-/// Between the first share and the next.
-constexpr double least_step = 0.07;
-/// An entry that has not been heard for this long has gone; in the largest fleets each is heard
-/// within half of it.
-constexpr common::duration peer_known_for = std::chrono::seconds{20};
-/// Requests a second below which a part of them says nothing.
-constexpr double least_rate = 0.5;
+/// Lower bound for the new version's share of the work, as a fraction of the scheduled share.
+constexpr double min_canary_fraction = 0.4;
+/// Minimum difference between the first share and the next.
+constexpr double min_step = 0.07;
+/// An entry that has not reported for this time is taken to have gone; in the largest fleets each
+/// entry reports within half of it.
+constexpr common::duration peer_timeout = std::chrono::seconds{20};
+/// Minimum request rate, per second, at which a fraction of it is meaningful.
+constexpr double min_rate = 0.5;
 
 } // namespace
 
-auto rollout_guide::order(const rollout_order& wanted, time_point now) -> void
+auto rollout_manager::apply_order(const rollout_order& wanted, time_point now) -> void
 {
     const auto found = this->rollouts.find(wanted.service);
     if (found != this->rollouts.end() && found->second.order == wanted) {
@@ -36,19 +36,19 @@
         this->infer_end(found->second, now);
         this->histories[wanted.service].note_replaced(found->second.order);
     }
-    const auto usual = this->calm.extract(wanted.service);
+    const auto baseline = this->baselines.extract(wanted.service);
     rollout fresh{
         wanted,
         now,
         rollout_state::running,
         std::nullopt,
-        usual.empty() ? version_evidence{this->settings.evidence} : usual.mapped(),
+        baseline.empty() ? version_evidence{this->settings.evidence} : baseline.mapped(),
         {},
         0.0,
         0.0,
         0.0};
-    const auto known = this->early.find(wanted.service);
-    if (known != this->early.end() && known->second.target == wanted.target) {
+    const auto known = this->early_states.find(wanted.service);
+    if (known != this->early_states.end() && known->second.target == wanted.target) {
         fresh.state = known->second.state;
         fresh.written = known->second.state;
     }
@@ -62,49 +62,49 @@
     this->rollouts.insert_or_assign(wanted.service, std::move(fresh));
 }
 
-auto rollout_guide::service_history::note_replaced(const rollout_order& one) -> void
+auto rollout_manager::service_history::note_replaced(const rollout_order& one) -> void
 {
-    // More than the seconds of an older copy hold.
-    constexpr std::size_t most_replaced = 8;
+    // More orders than the few seconds missing from an older copy can contain.
+    constexpr std::size_t max_replaced = 8;
     this->replaced.push_back(one);
-    if (this->replaced.size() > most_replaced) {
+    if (this->replaced.size() > max_replaced) {
         this->replaced.pop_front();
     }
 }
 
-auto rollout_guide::order_in_copy(const rollout_order& wanted, time_point now) -> void
+auto rollout_manager::apply_restored_order(const rollout_order& wanted, time_point now) -> void
 {
     const auto& past = this->histories[wanted.service].replaced;
     if (std::ranges::find(past, wanted) == past.end()) {
-        this->order(wanted, now);
+        this->apply_order(wanted, now);
         return;
     }
     common::log(
         common::log_part::rollout,
         common::log_level::info,
-        "order left out, another one replaced it service=" + wanted.service.value() +
+        "ignored an order that a later one replaced service=" + wanted.service.value() +
             " target=" + wanted.target.value());
 }
 
-auto rollout_guide::forget_written() -> void
+auto rollout_manager::forget_written() -> void
 {
     for (auto& [service, one] : this->rollouts) {
         one.written.reset();
     }
 }
 
-auto rollout_guide::infer_end(const rollout& one, time_point now) -> void
+auto rollout_manager::infer_end(const rollout& one, time_point now) -> void
 {
-    // The store says how it ended, but maybe only after the next order. Where all sessions were on
-    // the new version, none goes back.
+    // The store holds the outcome, but it may become known here only after the next order. If all
+    // sessions had moved to the new version, they stay on it.
     if (one.state == rollout_state::running && this->share_of(one, now) >= 1.0) {
         this->note_end(one.order.service, one.order.target, rollout_state::complete);
     }
 }
 
-auto rollout_guide::learn(const rollout_status& status) -> void
+auto rollout_manager::apply_status(const rollout_status& status) -> void
 {
-    this->early.insert_or_assign(status.service, status);
+    this->early_states.insert_or_assign(status.service, status);
     this->note_end(status.service, status.target, status.state);
     const auto found = this->rollouts.find(status.service);
     if (found == this->rollouts.end() || found->second.order.target != status.target) {
@@ -112,7 +112,7 @@
     }
     auto& one = found->second;
     one.written = status.state;
-    // What the store holds as the end is the end, whatever this entry would have decided.
+    // The outcome in the store is final, whatever this entry would have decided.
     if (status.state != rollout_state::running && one.state != status.state) {
         one.state = status.state;
         common::log(
@@ -123,7 +123,7 @@
     }
 }
 
-auto rollout_guide::states(time_point now) const -> std::vector<rollout_progress>
+auto rollout_manager::states(time_point now) const -> std::vector<rollout_progress>
 {
     std::vector<rollout_progress> all;
     for (const auto& [service, one] : this->rollouts) {
@@ -137,66 +137,67 @@
     return all;
 }
 
-auto rollout_guide::elapsed(const rollout& one, time_point now) const -> std::chrono::milliseconds
+auto rollout_manager::elapsed(const rollout& one, time_point now) const -> std::chrono::milliseconds
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(now - one.began);
 }
 
-auto rollout_guide::may_move(const rollout& one, time_point now) const -> bool
+auto rollout_manager::may_move(const rollout& one, time_point now) const -> bool
 {
     return this->share_of(one, now) > this->schedule_of(one).first_share;
 }
 
-auto rollout_guide::share_of(const rollout& one, time_point now) const -> double
+auto rollout_manager::share_of(const rollout& one, time_point now) const -> double
 {
     const auto schedule = this->schedule_of(one);
     const auto planned = share_at(schedule, this->elapsed(one, now), one.order.allowed);
     const auto held = std::max(one.reached_share, std::min(planned, schedule.first_share));
-    return planned > held && this->is_held_up(one, now) ? held
-                                                        : std::max(planned, one.reached_share);
+    return planned > held && this->is_growth_held(one, now) ? held
+                                                            : std::max(planned, one.reached_share);
 }
 
-auto rollout_guide::first_share_at_most(const rollout& one) const -> double
+auto rollout_manager::first_share_at_most(const rollout& one) const -> double
 {
     if (one.first_share > 0.0) {
         return std::max(one.first_share, this->settings.schedule.first_share);
     }
-    const auto largest =
-        this->settings.exposure_slack > 0.0 ? this->settings.largest_first_share : 0.0;
+    const auto largest = this->settings.exposure_slack > 0.0 ? this->settings.max_first_share : 0.0;
     return std::max(largest, this->settings.schedule.first_share);
 }
 
-auto rollout_guide::schedule_of(const rollout& one) const -> rollout_schedule
+auto rollout_manager::schedule_of(const rollout& one) const -> rollout_schedule
 {
     auto schedule = this->settings.schedule;
     schedule.first_share = std::max(schedule.first_share, one.first_share);
-    schedule.second_share = std::max(schedule.second_share, schedule.first_share + least_step);
+    schedule.second_share = std::max(schedule.second_share, schedule.first_share + min_step);
     return schedule;
 }
 
-auto rollout_guide::total_rate(const rollout& one, time_point now) const -> double
+auto rollout_manager::total_rate(const rollout& one, time_point now) const -> double
 {
     const auto own = this->rates.find(one.order.service);
     double sum = own == this->rates.end() ? 0.0 : own->second.per_second(now);
     double known = 1.0;
-    for (const auto& [peer, words] : one.peers) {
-        if (now - words.heard < peer_known_for) {
-            sum += words.rate;
+    for (const auto& [peer, reports] : one.peers) {
+        if (now - reports.last_heard < peer_timeout) {
+            sum += reports.rate;
             known += 1.0;
         }
     }
-    // In a large fleet few have spoken since the order; the others get as much on average.
-    const auto living = std::ranges::count_if(
-        this->peers_heard, [now](const auto& item) { return now - item.second < peer_known_for; });
-    return sum * std::max(1.0, (1.0 + static_cast<double>(living)) / known);
+    // In a large fleet only a few peers have reported since the order; the others are assumed to
+    // have the same rate on average.
+    const auto alive = std::ranges::count_if(this->peers_last_heard, [now](const auto& item) {
+        return now - item.second < peer_timeout;
+    });
+    return sum * std::max(1.0, (1.0 + static_cast<double>(alive)) / known);
 }
 
-auto rollout_guide::planned_first_share(const rollout& one, time_point now) const -> double
+auto rollout_manager::planned_first_share(const rollout& one, time_point now) const -> double
 {
     const auto& schedule = this->settings.schedule;
     const auto seconds = std::chrono::duration<double>(one.order.allowed).count();
     const auto requests = this->total_rate(one, now) * seconds * schedule.second_at;
-    // Of a service that gets nothing, nothing is known.
+    // With so few requests nothing is known about the service.
     if (requests < this->settings.exposure_slack) {
         return schedule.first_share;
     }
@@ -204,25 +205,25 @@
     return std::clamp(
         schedule.first_share + extra,
         schedule.first_share,
-        std::max(schedule.first_share, this->settings.largest_first_share));
+        std::max(schedule.first_share, this->settings.max_first_share));
 }
 
-auto rollout_guide::is_held_up(const rollout& one, time_point now) const -> bool
+auto rollout_manager::is_growth_held(const rollout& one, time_point now) const -> bool
 {
     const auto latest = one.order.allowed * this->settings.schedule.latest_growth;
-    return one.evidence.log_against().overall > this->settings.growth_from &&
+    return one.evidence.log_against().overall > this->settings.growth_below &&
            this->elapsed(one, now) < latest;
 }
 
-auto rollout_guide::must_revert(const rollout& one, time_point now) const -> bool
+auto rollout_manager::must_revert(const rollout& one, time_point now) const -> bool
 {
     const auto latest = one.order.allowed * this->settings.schedule.doubt_until;
     const bool is_late = one.reached_share < 1.0 && this->elapsed(one, now) >= latest;
     const auto against = one.evidence.log_against().strongest;
-    return one.evidence.is_worse() || (is_late && against >= this->settings.late_doubt);
+    return one.evidence.is_worse() || (is_late && against >= this->settings.late_evidence_limit);
 }
 
-auto rollout_guide::refresh(rollout& one, time_point now) -> void
+auto rollout_manager::refresh(rollout& one, time_point now) -> void
 {
     if (one.state != rollout_state::running) {
         return;
@@ -236,34 +237,36 @@
             common::log(
                 common::log_part::rollout,
                 common::log_level::info,
-                "share " + this->describe(one, now));
+                "share changed " + this->describe(one, now));
         }
         return;
     }
     one.state = rollout_state::reverted;
     this->note_end(one.order.service, one.order.target, one.state);
     common::log(
-        common::log_part::rollout, common::log_level::warning, "worse " + this->describe(one, now));
+        common::log_part::rollout,
+        common::log_level::warning,
+        "new version judged worse, reverting " + this->describe(one, now));
 }
 
-auto rollout_guide::spread_of(const rollout& one, time_point now) const -> double
+auto rollout_manager::spread_of(const rollout& one, time_point now) const -> double
 {
     if (one.reached_share >= 1.0) {
         return 1.0;
     }
-    // Sessions that stay on the old version leave the new one less than its share, so what counts
-    // is the part that it gets. Of that an entry with few requests knows little.
+    // Sessions that stay on the old version leave the new one less than its share, so the observed
+    // share of the work is used. An entry with few requests knows it only roughly.
     const auto all = this->rates.find(one.order.service);
     const auto ours = this->version_rates.find({one.order.service, one.order.target});
     const bool is_known = all != this->rates.end() && ours != this->version_rates.end();
     const double part =
-        is_known ? ours->second.per_second(now) / std::max(all->second.per_second(now), least_rate)
+        is_known ? ours->second.per_second(now) / std::max(all->second.per_second(now), min_rate)
                  : 0.0;
-    const double least = one.reached_share * least_canary_part;
+    const double least = one.reached_share * min_canary_fraction;
     return std::clamp(part, least, one.reached_share) * canary_room;
 }
 
-auto rollout_guide::describe(const rollout& one, time_point now) const -> std::string
+auto rollout_manager::describe(const rollout& one, time_point now) const -> std::string
 {
     const auto against = one.evidence.log_against();
     return "service=" + one.order.service.value() + " target=" + one.order.target.value() +
@@ -273,7 +276,7 @@
            " overall=" + std::to_string(against.overall);
 }
 
-auto rollout_guide::rule_for(
+auto rollout_manager::rule_for(
     const common::service_name& service, std::uint64_t session, time_point now) -> version_rule
 {
     const auto found = this->rollouts.find(service);
@@ -293,13 +296,13 @@
     if (one.state == rollout_state::reverted) {
         return stays;
     }
-    return this->goes_new(one, session, now)
+    return this->uses_new_version(one, session, now)
                ? version_rule{target, history.reverted, this->spread_of(one, now)}
                : stays;
 }
 
-auto rollout_guide::goes_new(const rollout& one, std::uint64_t session, time_point now) const
-    -> bool
+auto rollout_manager::uses_new_version(
+    const rollout& one, std::uint64_t session, time_point now) const -> bool
 {
     const auto& order = one.order;
     const bool is_meant = is_in_share(session, one.reached_share);
@@ -307,11 +310,11 @@
     if (const auto used = this->sessions.version_of(order.service, session, now)) {
         return *used == order.target || (is_meant && may_move);
     }
-    const bool is_kept = !may_move && this->sessions.is_old_elsewhere(order.service, session, now);
+    const bool is_kept = !may_move && this->sessions.is_old_at_peer(order.service, session, now);
     return is_meant && !is_kept;
 }
 
-auto rollout_guide::due(time_point now) const -> std::vector<rollout_status>
+auto rollout_manager::due_states(time_point now) const -> std::vector<rollout_status>
 {
     std::vector<rollout_status> wanted;
     for (const auto& [service, one] : this->rollouts) {
--- /dev/null
+++ b/source/core/routing/rollout_manager.hpp
@@ -0,0 +1,287 @@
+#pragma once
+
+#include <deque>
+#include <map>
+#include <optional>
+#include <set>
+#include <utility>
+#include <vector>
+
+#include "routing/configuration.hpp"
+#include "routing/load_effect.hpp"
+#include "routing/loss_tracker.hpp"
+#include "routing/request_rate.hpp"
+#include "routing/rollout.hpp"
+#include "routing/server_table.hpp"
+#include "routing/session_table.hpp"
+#include "routing/version_evidence.hpp"
+#include "routing/version_rule.hpp"
+
+namespace reedramp::routing {
+
+using common::time_point;
+
+struct rollout_options {
+    rollout_schedule schedule;
+    /// Requests that a bad version may receive in addition to its share. For a service with few
+    /// requests they are the larger part; the share alone yields too few answers to detect a slow
+    /// version.
+    double exposure_slack = 0.0;
+    /// Fraction of `exposure_slack` for the first half; the rest covers requests in flight when the
+    /// version is found to be bad.
+    double slack_part = 0.6;
+    /// Maximum first share. The later steps grow from it, and half of a service's servers have to
+    /// stay with the old version.
+    double max_first_share = 0.33;
+    evidence_options evidence;
+    /// The share grows once the evidence over all routes, as a logarithm, has fallen to this:
+    /// enough answers have been no worse. It starts at 0.
+    double growth_below = -1.0;
+    /// Evidence at which a roll-out is reverted if its growth has been held back for as long as
+    /// there was time.
+    double late_evidence_limit = 1.0;
+    /// Response times are compared with the old version's until an entry's request rate for the
+    /// service exceeds the rate while both versions served by this factor. Beyond it, queueing
+    /// would make a good version look slow.
+    double same_load = 1.5;
+    /// Requests of a session that are no further apart than this belong together.
+    common::duration session_time = std::chrono::seconds{5};
+};
+
+/// One entry's report about a roll-out, sent to its peers.
+struct rollout_report {
+    common::service_name service;
+    common::version_id target;
+    /// Time that the order allows, and how much of it has passed.
+    std::chrono::milliseconds allowed{0};
+    std::chrono::milliseconds elapsed{0};
+    /// Requests in flight on other versions, and active sessions there.
+    unsigned left_on_old = 0;
+    std::map<route_name, evidence_report> evidence;
+    /// Share of sessions that this entry sends to the new version.
+    double share = 0.0;
+    /// Share of the first half as computed by this entry; 0 before that.
+    double first_share = 0.0;
+    /// Requests per second for the service at this entry.
+    double rate = 0.0;
+    rollout_state state = rollout_state::running;
+    /// Whether the store holds this state.
+    bool is_written = false;
+    /// Sessions in the first share that this entry keeps on another version; only during the first
+    /// half.
+    std::vector<session_report> old_sessions;
+};
+
+/// Progress of one roll-out at this entry.
+struct rollout_progress {
+    rollout_status status;
+    double share = 0.0;
+    std::chrono::milliseconds elapsed{0};
+    unsigned left_on_old = 0;
+};
+
+/// Moves services' traffic between versions: decides which sessions use the new version, evaluates
+/// its answers, and decides when the roll-out is over.
+///
+/// Every entry computes the same share from the elapsed time, which entries report to each other,
+/// and adds up the evidence of all entries. It therefore does not matter which entry writes the
+/// outcome, and an entry that is cut off still stops on its own evidence.
+class rollout_manager {
+public:
+    explicit rollout_manager(rollout_options options)
+        : settings(options), sessions(options.session_time)
+    {
+    }
+
+    auto apply_order(const rollout_order& wanted, time_point now) -> void;
+
+    /// As `apply_order`, for an order read from a store restored from an older copy: an order that
+    /// another one has replaced is no longer in force.
+    auto apply_restored_order(const rollout_order& wanted, time_point now) -> void;
+
+    /// Marks all states as not written, since the store may have lost them.
+    auto forget_written() -> void;
+
+    /// Number of orders that this entry has applied; grows with each one that is new to it.
+    [[nodiscard]] auto orders_applied() const -> std::uint64_t { return this->orders; }
+
+    auto apply_status(const rollout_status& status) -> void;
+    auto apply_reports(
+        const common::host_id& peer, const std::vector<rollout_report>& reports, time_point now)
+        -> void;
+    [[nodiscard]] auto make_reports(time_point now) const -> std::vector<rollout_report>;
+
+    /// Returns the newest roll-out of each service and its progress here, for the state page.
+    [[nodiscard]] auto states(time_point now) const -> std::vector<rollout_progress>;
+
+    /// Returns the version rule for a request of a session.
+    auto rule_for(const common::service_name& service, std::uint64_t session, time_point now)
+        -> version_rule;
+
+    /// Records that a caller resumes an interrupted stream of the session. The entry that served
+    /// it, and that knew the session's version, may have failed.
+    auto note_resumed(const common::service_name& service, std::uint64_t session, time_point now)
+        -> void;
+
+    /// Records that a request of the session was sent to a server of `version`.
+    auto note_sent(
+        const common::service_name& service,
+        std::uint64_t session,
+        const common::version_id& version,
+        time_point now) -> void;
+
+    auto note_outcome(
+        const common::service_name& service,
+        const common::version_id& version,
+        const route_name& route,
+        bool is_good) -> void;
+
+    /// Records that the connection to the server was lost during a request. Whether that counts
+    /// against the version is known a second later; see `loss_tracker`.
+    auto note_lost(
+        const common::service_name& service,
+        const common::version_id& version,
+        const route_name& route,
+        time_point now) -> void;
+
+    auto note_first_event(
+        const common::service_name& service,
+        const common::version_id& version,
+        const route_name& route,
+        std::chrono::milliseconds took,
+        time_point now) -> void;
+
+    /// Records how long a part of an answer took, or was waited for.
+    auto note_time(
+        const common::service_name& service,
+        const common::version_id& version,
+        const route_name& route,
+        const timed_answer& timed,
+        time_point now) -> void;
+
+    /// Records that a request was moved to another server because its server was silent: counts as
+    /// the slowest possible answer.
+    auto note_stall(
+        const common::service_name& service,
+        const common::version_id& version,
+        const route_name& route,
+        time_point now) -> void;
+
+    /// Records the end of a send that was passed to `note_sent`.
+    auto note_ended(
+        const common::service_name& service,
+        std::uint64_t session,
+        const common::version_id& version,
+        time_point now) -> void;
+
+    /// Returns the states that should be written now because the store does not have them.
+    [[nodiscard]] auto due_states(time_point now) const -> std::vector<rollout_status>;
+
+private:
+    struct peer_report {
+        time_point last_heard;
+        unsigned left_on_old = 0;
+        double rate = 0.0;
+    };
+
+    struct rollout {
+        rollout_order order;
+        time_point began;
+        rollout_state state = rollout_state::running;
+        /// The state in the store; empty until it has one for this target.
+        std::optional<rollout_state> written;
+        version_evidence evidence;
+        std::map<common::host_id, peer_report> peers;
+        /// The largest share so far at any entry; a session that has moved does not move back.
+        double reached_share = 0.0;
+        /// The share of the first half: the maximum over all entries once the roll-out has started.
+        /// It decides whether the share has grown, so all entries must have the same value.
+        double first_share = 0.0;
+        /// Requests per second at this entry while both versions served.
+        double baseline_rate = 0.0;
+    };
+
+    /// Outcome of a service's earlier roll-outs. Servers of a version that was replaced or reverted
+    /// stay listed for a second or more, and would receive requests again as soon as the next order
+    /// replaces the one that excluded them.
+    struct service_history {
+        /// The target of the newest completed roll-out.
+        std::optional<common::version_id> current;
+        std::set<common::version_id> reverted;
+        /// Orders that were replaced by later ones, newest last.
+        std::deque<rollout_order> replaced;
+
+        auto note_replaced(const rollout_order& one) -> void;
+    };
+
+    auto settle_losses(const common::service_name& service, time_point now) -> void;
+    auto apply_other_order(const rollout& ours, const rollout_report& report, time_point now)
+        -> void;
+    auto infer_end(const rollout& one, time_point now) -> void;
+    auto note_end(
+        const common::service_name& service, const common::version_id& target, rollout_state state)
+        -> void;
+    /// Share according to the schedule and the evidence.
+    [[nodiscard]] auto share_of(const rollout& one, time_point now) const -> double;
+    /// Share of the first half, from what the operators allow and the service's request rate.
+    [[nodiscard]] auto planned_first_share(const rollout& one, time_point now) const -> double;
+    /// Upper bound of the first share while it is not known yet.
+    [[nodiscard]] auto first_share_at_most(const rollout& one) const -> double;
+    /// The schedule, adapted to the roll-out's own first share.
+    [[nodiscard]] auto schedule_of(const rollout& one) const -> rollout_schedule;
+    /// Requests per second for the service over all entries.
+    [[nodiscard]] auto total_rate(const rollout& one, time_point now) const -> double;
+    /// Whether the evidence holds back the growth of the share.
+    [[nodiscard]] auto is_growth_held(const rollout& one, time_point now) const -> bool;
+    /// Whether the new version has to be reverted: certainly worse, or doubtful when the time is
+    /// up.
+    [[nodiscard]] auto must_revert(const rollout& one, time_point now) const -> bool;
+    auto refresh(rollout& one, time_point now) -> void;
+    /// Fraction of the new version's servers over which its requests are spread.
+    [[nodiscard]] auto spread_of(const rollout& one, time_point now) const -> double;
+    [[nodiscard]] auto describe(const rollout& one, time_point now) const -> std::string;
+    /// Whether a response time of `version` may be compared.
+    auto is_comparable(rollout& one, const common::version_id& version, time_point now) -> bool;
+    /// What remains on other versions, from this entry and over all entries: requests in flight and
+    /// active sessions. Once a roll-out is complete its old servers stop, so a session that is
+    /// still active there would change its version when it returns, possibly during the first half
+    /// of the next roll-out.
+    [[nodiscard]] auto own_left_on_old(const rollout& one, time_point now) const -> unsigned;
+    [[nodiscard]] auto left_on_old(const rollout& one, time_point now) const -> unsigned;
+    [[nodiscard]] auto elapsed(const rollout& one, time_point now) const
+        -> std::chrono::milliseconds;
+    auto running(const common::service_name& service) -> rollout*;
+    /// The evidence to which an answer of `version` is added while no roll-out of the service runs;
+    /// null if to none.
+    auto baseline_evidence(const common::service_name& service, const common::version_id& version)
+        -> version_evidence*;
+    /// Whether a session uses the new version while the roll-out runs.
+    [[nodiscard]] auto
+    uses_new_version(const rollout& one, std::uint64_t session, time_point now) const -> bool;
+    /// Whether the roll-out's share has grown beyond the first one: from then on sessions may
+    /// change their version.
+    [[nodiscard]] auto may_move(const rollout& one, time_point now) const -> bool;
+    [[nodiscard]] auto sessions_to_report(const rollout& one, time_point now) const
+        -> std::vector<session_report>;
+
+    rollout_options settings;
+    std::uint64_t orders = 0;
+    std::map<common::service_name, rollout> rollouts;
+    std::map<common::service_name, service_history> histories;
+    /// Usual results of the current version, collected while no roll-out runs. A roll-out starts
+    /// with them: counted only from the order on, a service with few requests has too few answers
+    /// of the old version to compare with before the first half of a short roll-out is over.
+    std::map<common::service_name, version_evidence> baselines;
+    /// States that were read before their order.
+    std::map<common::service_name, rollout_status> early_states;
+    session_table sessions;
+    std::map<std::pair<common::service_name, common::version_id>, unsigned> in_flight;
+    std::map<common::service_name, loss_tracker> losses;
+    std::map<common::service_name, load_effect> load_effects;
+    std::map<common::service_name, request_rate> rates;
+    std::map<std::pair<common::service_name, common::version_id>, request_rate> version_rates;
+    /// When each peer last reported, with or without a roll-out.
+    std::map<common::host_id, time_point> peers_last_heard;
+};
+
+} // namespace reedramp::routing
--- a/source/core/routing/rollout_outcomes.cpp
+++ b/source/core/routing/rollout_manager_outcomes.cpp
@@ -1,15 +1,16 @@
 #include <algorithm>
 #include <cmath>
 
-#include "routing/rollout_guide.hpp"
+#include "routing/rollout_manager.hpp"
 
-/// What becomes of requests under a roll-out: the part of `rollout_guide` that gathers evidence.
+/// The part of `rollout_manager` that collects evidence from the outcomes of requests.
 namespace reedramp::routing {
 
 namespace {
 
-/// Callers whose entry lost its power notice that their stream is silent after 8 s or more, four
-/// times the target of today's drafts. One that comes back sooner after an order began before it.
+/// Callers whose entry lost power notice after 8 s or more that their stream is silent: four times
+/// the target of draft streams. A caller that resumes earlier after an order had started its stream
+/// before it.
 constexpr common::duration cut_stream_known_after = std::chrono::seconds{8};
 
 auto side_of(const rollout_order& order, const common::version_id& version) -> version_side
@@ -19,7 +20,7 @@
 
 } // namespace
 
-auto rollout_guide::running(const common::service_name& service) -> rollout*
+auto rollout_manager::running(const common::service_name& service) -> rollout*
 {
     const auto found = this->rollouts.find(service);
     const bool runs =
@@ -27,7 +28,7 @@
     return runs ? &found->second : nullptr;
 }
 
-auto rollout_guide::calm_evidence(
+auto rollout_manager::baseline_evidence(
     const common::service_name& service, const common::version_id& version) -> version_evidence*
 {
     const auto history = this->histories.find(service);
@@ -38,10 +39,10 @@
     if (!is_in_use || is_reverted) {
         return nullptr;
     }
-    return &this->calm.try_emplace(service, this->settings.evidence).first->second;
+    return &this->baselines.try_emplace(service, this->settings.evidence).first->second;
 }
 
-auto rollout_guide::note_end(
+auto rollout_manager::note_end(
     const common::service_name& service, const common::version_id& target, rollout_state state)
     -> void
 {
@@ -54,13 +55,14 @@
     }
 }
 
-auto rollout_guide::note_resumed(
+auto rollout_manager::note_resumed(
     const common::service_name& service, std::uint64_t session, time_point now) -> void
 {
     const auto* one = this->running(service);
     if (one != nullptr && now < one->began + cut_stream_known_after) {
-        // It began before the order, on an old version; or else no entry is left that knows.
-        this->sessions.hear(
+        // The stream started before the order, on an old version; or else no entry is left that
+        // knows.
+        this->sessions.apply_reports(
             service,
             {{session,
               std::chrono::duration_cast<std::chrono::milliseconds>(this->settings.session_time)}},
@@ -68,30 +70,30 @@
     }
 }
 
-auto rollout_guide::note_sent(
+auto rollout_manager::note_sent(
     const common::service_name& service,
     std::uint64_t session,
     const common::version_id& version,
     time_point now) -> void
 {
-    this->under_way[{service, version}] += 1;
+    this->in_flight[{service, version}] += 1;
     this->rates[service].note(now);
     this->version_rates[{service, version}].note(now);
     this->sessions.note_sent(service, session, version, now);
 }
 
-auto rollout_guide::note_ended(
+auto rollout_manager::note_ended(
     const common::service_name& service,
     std::uint64_t session,
     const common::version_id& version,
     time_point now) -> void
 {
     this->sessions.note_ended(service, session, now);
-    auto& count = this->under_way[{service, version}];
+    auto& count = this->in_flight[{service, version}];
     count -= count > 0 ? 1 : 0;
 }
 
-auto rollout_guide::note_outcome(
+auto rollout_manager::note_outcome(
     const common::service_name& service,
     const common::version_id& version,
     const route_name& route,
@@ -100,12 +102,12 @@
     if (auto* one = this->running(service)) {
         one->evidence.add_outcome(route, side_of(one->order, version), is_good);
     }
-    else if (auto* usual = this->calm_evidence(service, version)) {
-        usual->add_outcome(route, version_side::old, is_good);
+    else if (auto* baseline = this->baseline_evidence(service, version)) {
+        baseline->add_outcome(route, version_side::old, is_good);
     }
 }
 
-auto rollout_guide::note_lost(
+auto rollout_manager::note_lost(
     const common::service_name& service,
     const common::version_id& version,
     const route_name& route,
@@ -117,22 +119,22 @@
         return;
     }
     loss_tracker::loss lost{now, side_of(one->order, version), route};
-    for (const auto& [key, count] : this->under_way) {
+    for (const auto& [key, count] : this->in_flight) {
         if (key.first == service) {
             const bool is_new = key.second == one->order.target;
-            (is_new ? lost.under_way_new : lost.under_way_old) += count;
+            (is_new ? lost.in_flight_new : lost.in_flight_old) += count;
         }
     }
     this->losses[service].note(std::move(lost));
 }
 
-auto rollout_guide::settle_losses(const common::service_name& service, time_point now) -> void
+auto rollout_manager::settle_losses(const common::service_name& service, time_point now) -> void
 {
-    const auto book = this->losses.find(service);
-    if (book == this->losses.end()) {
+    const auto tracker = this->losses.find(service);
+    if (tracker == this->losses.end()) {
         return;
     }
-    const auto counted = book->second.settled(now);
+    const auto counted = tracker->second.settled(now);
     if (auto* one = this->running(service)) {
         for (const auto& lost : counted) {
             one->evidence.add_outcome(lost.route, lost.side, false);
@@ -140,7 +142,7 @@
     }
 }
 
-auto rollout_guide::note_first_event(
+auto rollout_manager::note_first_event(
     const common::service_name& service,
     const common::version_id& version,
     const route_name& route,
@@ -148,18 +150,18 @@
     time_point now) -> void
 {
     auto* one = this->running(service);
-    // With all sessions on the new version there is nothing to compare with: what was measured of
-    // the old one belongs to another load, and a burst of callers would look like a slow version.
+    // With all sessions on the new version there is nothing to compare with: the old version's
+    // times belong to another load, and a burst of callers would look like a slow version.
     if (one != nullptr && this->share_of(*one, now) < 1.0) {
         one->evidence.add_first_event(route, side_of(one->order, version), took);
     }
-    auto* usual = one == nullptr ? this->calm_evidence(service, version) : nullptr;
-    if (usual != nullptr) {
-        usual->add_first_event(route, version_side::old, took);
+    auto* baseline = one == nullptr ? this->baseline_evidence(service, version) : nullptr;
+    if (baseline != nullptr) {
+        baseline->add_first_event(route, version_side::old, took);
     }
 }
 
-auto rollout_guide::note_stall(
+auto rollout_manager::note_stall(
     const common::service_name& service,
     const common::version_id& version,
     const route_name& route,
@@ -172,7 +174,7 @@
     }
 }
 
-auto rollout_guide::note_time(
+auto rollout_manager::note_time(
     const common::service_name& service,
     const common::version_id& version,
     const route_name& route,
@@ -183,10 +185,11 @@
     const bool is_new = one != nullptr && version == one->order.target;
     const bool depends_on_load = timed.part == timed_part::event_pause;
     auto& effect = this->load_effects[service];
-    // Below a millisecond there is no difference that anyone would notice.
+    // Differences below one millisecond do not matter.
     auto log_ms = std::log(std::max(timed.took_ms, 1.0));
     if (depends_on_load && !is_new) {
-        // A slow version's own streams would pass its slowness off as an effect of load.
+        // The new version's streams are left out: if it is slow, its slowness would be attributed
+        // to load.
         effect.note(route, timed.reading, log_ms);
     }
     if (depends_on_load) {
@@ -196,22 +199,22 @@
         one->evidence.add_time(
             route, side_of(one->order, version), timed.part, log_ms, timed.bound);
     }
-    auto* usual = one == nullptr ? this->calm_evidence(service, version) : nullptr;
-    if (usual != nullptr) {
-        usual->add_time(route, version_side::old, timed.part, log_ms, timed.bound);
+    auto* baseline = one == nullptr ? this->baseline_evidence(service, version) : nullptr;
+    if (baseline != nullptr) {
+        baseline->add_time(route, version_side::old, timed.part, log_ms, timed.bound);
     }
 }
 
-auto rollout_guide::is_comparable(rollout& one, const common::version_id& version, time_point now)
+auto rollout_manager::is_comparable(rollout& one, const common::version_id& version, time_point now)
     -> bool
 {
     const auto rate = this->rates[one.order.service].per_second(now);
     if (this->share_of(one, now) < 1.0) {
-        one.usual_rate = rate;
+        one.baseline_rate = rate;
         return true;
     }
-    // The old version's last answers come from servers that have little else to do.
-    return version == one.order.target && rate <= one.usual_rate * this->settings.same_load;
+    // The old version's last answers come from servers that are nearly idle.
+    return version == one.order.target && rate <= one.baseline_rate * this->settings.same_load;
 }
 
 } // namespace reedramp::routing
--- /dev/null
+++ b/source/core/routing/rollout_manager_peers.cpp
@@ -0,0 +1,146 @@
+#include <algorithm>
+#include <utility>
+
+#include "routing/rollout_manager.hpp"
+
+/// The part of `rollout_manager` that exchanges reports with peers.
+namespace reedramp::routing {
+
+namespace {
+
+/// An entry that has been silent for this time has ended, or is not waited for.
+constexpr common::duration peer_silence = std::chrono::seconds{2};
+
+/// Peers that have not reported for this time are forgotten.
+constexpr common::duration forgotten_after = std::chrono::minutes{1};
+
+/// A peer's order is newer than this entry's if it started later by this. Start times are derived
+/// from messages, and differ by the time that those take.
+constexpr common::duration order_distance = std::chrono::milliseconds{500};
+
+/// Maximum number of sessions in one message (16 bytes each): a tenth of what an entry serves in
+/// session_time at 150 requests per second. Sessions beyond it may change their version at another
+/// entry.
+constexpr std::size_t max_reported_sessions = 96;
+
+} // namespace
+
+auto rollout_manager::apply_reports(
+    const common::host_id& peer, const std::vector<rollout_report>& reports, time_point now) -> void
+{
+    this->peers_last_heard[peer] = now;
+    std::erase_if(this->peers_last_heard, [now](const auto& item) {
+        return now - item.second > forgotten_after;
+    });
+    for (const auto& report : reports) {
+        auto found = this->rollouts.find(report.service);
+        if (found == this->rollouts.end()) {
+            // This entry can't read the store, but the peer has read an order there.
+            this->apply_order({report.service, report.target, report.allowed}, now);
+            found = this->rollouts.find(report.service);
+        }
+        if (found == this->rollouts.end()) {
+            continue;
+        }
+        auto& one = found->second;
+        if (one.order.target != report.target) {
+            this->apply_other_order(one, report, now);
+            continue;
+        }
+        // An entry that started later, or learned of the order later, adopts the earlier start.
+        one.began = std::min(one.began, now - report.elapsed);
+        one.peers[peer] = {now, report.left_on_old, std::max(report.rate, 0.0)};
+        // Applied before the share: a peer with a larger first share has not allowed sessions to
+        // move yet.
+        one.first_share =
+            std::max(one.first_share, std::min(report.first_share, this->settings.max_first_share));
+        one.evidence.apply_report(peer, report.evidence);
+        one.reached_share = std::max(one.reached_share, std::min(report.share, 1.0));
+        this->sessions.apply_reports(report.service, report.old_sessions, now);
+        if (report.is_written) {
+            this->apply_status({report.service, report.target, report.state});
+        }
+    }
+}
+
+auto rollout_manager::apply_other_order(
+    const rollout& ours, const rollout_report& report, time_point now) -> void
+{
+    const auto began = now - report.elapsed;
+    if (report.state == rollout_state::running && began > ours.began + order_distance) {
+        this->apply_order({report.service, report.target, report.allowed}, began);
+    }
+    else if (report.is_written && ours.state == rollout_state::running && began < ours.began) {
+        // The outcome of the previous roll-out, which this entry may not have read before the next
+        // order.
+        this->note_end(report.service, report.target, report.state);
+    }
+}
+
+auto rollout_manager::make_reports(time_point now) const -> std::vector<rollout_report>
+{
+    std::vector<rollout_report> all;
+    for (const auto& [service, one] : this->rollouts) {
+        const auto rate = this->rates.find(service);
+        rollout_report report{
+            service,
+            one.order.target,
+            one.order.allowed,
+            this->elapsed(one, now),
+            this->own_left_on_old(one, now),
+            {},
+            this->share_of(one, now),
+            one.first_share,
+            rate == this->rates.end() ? 0.0 : rate->second.per_second(now),
+            one.state,
+            one.written == one.state,
+            this->sessions_to_report(one, now)};
+        if (report.is_written && report.state != rollout_state::running) {
+            all.push_back(std::move(report)); // The evidence no longer matters.
+            continue;
+        }
+        report.evidence = one.evidence.make_report();
+        all.push_back(std::move(report));
+    }
+    return all;
+}
+
+auto rollout_manager::sessions_to_report(const rollout& one, time_point now) const
+    -> std::vector<session_report>
+{
+    if (one.state != rollout_state::running || this->may_move(one, now)) {
+        return {};
+    }
+    const auto& order = one.order;
+    return this->sessions.on_other_versions(
+        order.service,
+        order.target,
+        [first_share = this->first_share_at_most(one)](std::uint64_t session) {
+            return is_in_share(session, first_share);
+        },
+        max_reported_sessions,
+        now);
+}
+
+auto rollout_manager::left_on_old(const rollout& one, time_point now) const -> unsigned
+{
+    auto count = this->own_left_on_old(one, now);
+    for (const auto& [peer, reports] : one.peers) {
+        count += now - reports.last_heard < peer_silence ? reports.left_on_old : 0;
+    }
+    return count;
+}
+
+auto rollout_manager::own_left_on_old(const rollout& one, time_point now) const -> unsigned
+{
+    const auto& order = one.order;
+    auto count = static_cast<unsigned>(
+        this->sessions.count_on_other_versions(order.service, order.target, now));
+    for (const auto& [key, requests] : this->in_flight) {
+        const bool is_old = key.first == order.service && key.second != order.target;
+        count += is_old ? requests : 0;
+    }
+    return count;
+}
+
+} // namespace reedramp::routing
--- a/source/core/routing/send_slot_schedule.cpp
+++ b/source/core/routing/send_slot_schedule.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// A turn lasts until the next entry's begins, and for so long at the least. Turns that were saved
-/// up would all be used in the moment in which callers return.
-constexpr double least_turn_s = 0.25;
+/// Minimum length of a slot; otherwise it lasts until the next entry's starts. Unused slots are not
+/// saved up, since all would be used at once when callers return.
+constexpr double min_slot_s = 0.25;
 
-/// A turn's beginning follows from a time of day in whole milliseconds, and is found a little
-/// earlier or later each time; a send at its very beginning must count as one of it.
-constexpr std::chrono::milliseconds begin_varies{2};
+/// The start of a slot is computed from a time of day in whole milliseconds and varies slightly; a
+/// send at the very start must count as part of the slot.
+constexpr std::chrono::milliseconds begin_tolerance{2};
 
-/// A part of a round of turns, so that an entry's turns at different servers do not come together.
+/// Phase of a server's slots, as a fraction of the period, so that an entry's slots at different
+/// servers do not coincide.
 auto phase_of(const registration& server) -> double
 {
     constexpr double whole = 18446744073709551616.0;
@@ -29,13 +30,13 @@
 
 } // namespace
 
-auto send_slot_schedule::place_at(time_point now) const -> entry_rank
+auto send_slot_schedule::rank_at(time_point now) const -> entry_rank
 {
-    if (this->place_known_at != now && this->hooks.place) {
-        this->known_place = this->hooks.place();
-        this->place_known_at = now;
+    if (this->rank_known_at != now && this->hooks.rank) {
+        this->known_rank = this->hooks.rank();
+        this->rank_known_at = now;
     }
-    return this->known_place;
+    return this->known_rank;
 }
 
 auto send_slot_schedule::shared_seconds(time_point now) const -> double
@@ -47,33 +48,33 @@
     return static_cast<double>(this->hooks.unix_ms()) / ms_per_second;
 }
 
-auto send_slot_schedule::turn_at(
-    const registration& server, double per_second, time_point now) const -> turn
+auto send_slot_schedule::slot_at(
+    const registration& server, double per_second, time_point now) const -> slot
 {
-    const auto place = this->place_at(now);
-    const auto entries = static_cast<double>(std::max<std::size_t>(place.of, 1));
+    const auto rank = this->rank_at(now);
+    const auto entries = static_cast<double>(std::max<std::size_t>(rank.of, 1));
     const double spacing = 1.0 / per_second;
     const double period = spacing * entries;
-    const double lasts = std::max(spacing, least_turn_s);
-    const double phase = static_cast<double>(place.number) / entries + phase_of(server);
+    const double lasts = std::max(spacing, min_slot_s);
+    const double phase = static_cast<double>(rank.number) / entries + phase_of(server);
     const double rounds = this->shared_seconds(now) / period - phase;
     const double since_begin = (rounds - std::floor(rounds)) * period;
 
-    turn found{now - as_duration(since_begin), as_duration(period), false};
-    const auto sent = this->last_sent.find(server.start());
-    // The number of entries changes, and the time of day may jump, and all turns with them: never
+    slot found{now - as_duration(since_begin), as_duration(period), false};
+    const auto sent = this->last_sent.find(server.instance());
+    // When the number of entries changes, or the clock jumps, all slots move: a slot is never used
     // sooner than a period allows.
     const bool is_used =
-        sent != this->last_sent.end() && (sent->second >= found.begins - begin_varies ||
+        sent != this->last_sent.end() && (sent->second >= found.begins - begin_tolerance ||
                                           now - sent->second < as_duration(period - lasts));
     found.is_open = !is_used && since_begin < lasts;
     return found;
 }
 
-auto send_slot_schedule::next_turn(
+auto send_slot_schedule::next_slot(
     const registration& server, double per_second, time_point now) const -> time_point
 {
-    const auto current = this->turn_at(server, per_second, now);
+    const auto current = this->slot_at(server, per_second, now);
     return current.is_open ? now : current.begins + current.period;
 }
 
--- a/source/core/routing/server_choice.cpp
+++ b/source/core/routing/server_choice.cpp
@@ -11,8 +11,8 @@
 
 using servers = std::vector<const registration*>;
 
-/// By how much each further holder of a part is given less patience than the one before it: it was
-/// asked less often, and may have dropped the part.
+/// Divisor of the extra work allowed for each further holder of a prefix: it was used less often,
+/// and may have evicted the prefix.
 constexpr double patience_step = 4.0;
 
 auto id_hash(const registration& server) -> std::uint64_t
@@ -20,45 +20,46 @@
     return server.id_hash == 0 ? hash_of(server.id) : server.id_hash;
 }
 
-/// Which servers a request may go to.
+/// Decides which servers a request may be sent to.
 class eligibility {
 public:
     eligibility(const placement_request& request, const server_trackers& known, time_point moment)
-        : asked(request), books(known), now(moment)
+        : asked(request), trackers(known), now(moment)
     {
     }
 
-    /// Whether it may go there at all.
+    /// Whether the request may be sent there at all.
     [[nodiscard]] auto is_open(const registration& server) const -> bool
     {
         const bool is_untried =
             this->asked.tried.empty() ||
-            std::ranges::find(this->asked.tried, server.start()) == this->asked.tried.end();
-        const bool has_turn =
-            this->books.intake == nullptr ||
-            this->books.intake->may_take(server, this->books.cold_per_second, this->now);
-        return is_untried && has_turn;
+            std::ranges::find(this->asked.tried, server.instance()) == this->asked.tried.end();
+        const bool has_slot =
+            this->trackers.limiter == nullptr ||
+            this->trackers.limiter->may_send(server, this->trackers.cold_per_second, this->now);
+        return is_untried && has_slot;
     }
 
-    /// Whether it should, while there are others.
+    /// Whether the request should be sent there while other servers are available.
     [[nodiscard]] auto holds(const registration& server) const -> bool
     {
-        return this->is_open(server) && !this->books.health.is_resting(server.start(), this->now);
+        return this->is_open(server) &&
+               !this->trackers.health.is_ejected(server.instance(), this->now);
     }
 
 private:
     const placement_request& asked;
-    const server_trackers& books;
+    const server_trackers& trackers;
     time_point now;
 };
 
-/// The first `count` by rendezvous hashing, the first one in front: the same in all entries, and
-/// only its own parts move when a server goes.
+/// Returns the first `count` servers by rendezvous hashing, best first. The order is the same at
+/// all entries, and only a removed server's own keys move.
 auto holders_of(
     const servers& usable, std::uint64_t key, std::size_t count, const eligibility& may_go)
     -> servers
 {
-    // Few rank, so that few are looked up in the books.
+    // Only the best ones are checked, which limits the lookups in the trackers.
     const auto first = placement::top_by_affinity(
         usable.size(),
         key,
@@ -82,8 +83,8 @@
     return is_new;
 }
 
-/// Adds servers by chance: first those of the request's own data centre, as far as chance finds
-/// them, then any.
+/// Adds random servers, up to `drawn_near` of them from the request's own data centre as far as the
+/// draws find them, then any.
 auto add_drawn(
     servers& to,
     const servers& usable,
@@ -92,14 +93,15 @@
     const eligibility& may_go,
     std::uint64_t chance) -> void
 {
-    // With five data centres a draw is near once in five; so many draws find most of the near ones.
+    // With five data centres, one draw in five is from the own one; this many draws find most of
+    // those wanted.
     constexpr std::size_t draws_for_each = 4;
     const auto draws = options.drawn * draws_for_each;
     const auto far = options.drawn - std::min(options.drawn_near, options.drawn);
     std::size_t near_found = 0;
     std::size_t far_found = 0;
     for (std::size_t i = 0; i < draws && near_found + far_found < options.drawn; ++i) {
-        // Draws of one choice need no generator of their own: the hash of their number will do.
+        // A hash of the draw's index replaces a random number generator.
         const auto* server = usable[placement::affinity_weight(chance, i) % usable.size()];
         const bool is_near = server->data_centre == asked.own_data_centre;
         if ((!is_near && far_found >= far) || !may_go.holds(*server)) {
@@ -119,7 +121,7 @@
     return kept;
 }
 
-/// The servers that the request looks at, its prompt's holders in front; how many those are.
+/// The candidates for a request, holders of its prefix first, and the number of holders.
 struct candidates {
     servers all;
     std::size_t holders = 0;
@@ -148,7 +150,7 @@
         }
     }
     if (found.all.empty()) {
-        // Chance met only servers that are out.
+        // The draws found only servers that are not available.
         found.all = all_that(usable, [&may_go](const auto& one) { return may_go.holds(one); });
     }
     if (found.all.empty()) {
@@ -160,14 +162,16 @@
 auto cost_at(
     const registration& server,
     const placement_request& asked,
-    const server_trackers& books,
+    const server_trackers& trackers,
     const choice_options& options,
     time_point now) -> double
 {
-    const auto start = server.start();
-    const bool is_spared = server_limiter::is_spared(server, books.cold_per_second, now);
-    const auto slowness = books.paces.slowness(start) * (is_spared ? options.cold_slowness : 1.0);
-    const auto cost = slowness * (books.loads.total(start, now).work + asked.work);
+    const auto instance = server.instance();
+    const bool is_limited_as_cold =
+        server_limiter::is_limited_as_cold(server, trackers.cold_per_second, now);
+    const auto slowness =
+        trackers.speeds.slowness(instance) * (is_limited_as_cold ? options.cold_slowness : 1.0);
+    const auto cost = slowness * (trackers.loads.total(instance, now).work + asked.work);
     const bool is_far = server.data_centre != asked.own_data_centre;
     return is_far ? cost + options.distance_work : cost;
 }
@@ -177,7 +181,7 @@
 auto choose_server(
     const std::vector<const registration*>& usable,
     const placement_request& asked,
-    const server_trackers& books,
+    const server_trackers& trackers,
     const choice_options& options,
     std::uint64_t chance,
     time_point now) -> const registration*
@@ -185,12 +189,12 @@
     if (usable.empty()) {
         return nullptr;
     }
-    const eligibility may_go(asked, books, now);
+    const eligibility may_go(asked, trackers, now);
     const auto found = find_candidates(usable, asked, options, may_go, chance);
     std::vector<double> costs;
     costs.reserve(found.all.size());
     std::ranges::transform(found.all, std::back_inserter(costs), [&](const auto* server) {
-        return cost_at(*server, asked, books, options, now);
+        return cost_at(*server, asked, trackers, options, now);
     });
     const auto least = std::ranges::min_element(costs);
     if (least == costs.end()) {
--- a/source/core/routing/server_health.hpp
+++ b/source/core/routing/server_health.hpp
@@ -14,83 +14,85 @@
 
 using common::time_point;
 
-/// How an attempt at a server ended, for the judgement of the server.
+/// Outcome of an attempt, for judging the server.
 enum class server_outcome : std::uint8_t {
     good,
-    /// It said that it has no room.
+    /// The server reported that it is full.
     refused,
-    /// It was silent for so long that the request was taken elsewhere.
+    /// The server was silent for so long that the request was moved to another one.
     stalled,
-    /// Its answer was a failure, broken, late or missing.
+    /// The response was an error, broken, late or missing.
     failed,
-    /// No connection, or silence: nothing is to be had there.
+    /// No connection, or no response at all.
     unreachable,
 };
 
 struct health_options {
-    /// Weight of the newest outcome in a server's share of failures.
+    /// Weight of the newest outcome in a server's failure rate.
     double memory = 0.2;
-    /// A server with a larger share of failures than the service's mean by this much rests. Plain
+    /// A server is ejected if its failure rate exceeds the service's mean by more than this. Plain
     /// services fail up to one request in seven by themselves.
     double excess = 0.35;
-    /// The service's mean is taken to be at most this. When a third of the servers fail at once
-    /// they answer fast, draw most of the requests, and the mean becomes theirs: measured against
-    /// it, none of them was bad, and half of all requests went on failing.
-    double most_usual_failures = 0.2;
-    /// First rest; each further one without a success between is twice as long.
-    common::duration first_rest = std::chrono::milliseconds{700};
-    common::duration longest_rest = std::chrono::milliseconds{5000};
-    /// Failures over all entries from which on a server rests at all of them, if they are a larger
-    /// share than the mean by `excess`. Two may be a server that ends, or two callers' bad luck.
-    double least_failures = 3.0;
+    /// Upper bound for the service's mean failure rate. When a third of the servers fail at the
+    /// same time, they answer fast, attract most of the requests and dominate the mean; compared
+    /// with that mean, none of them was ejected and half of all requests kept failing.
+    double max_usual_failures = 0.2;
+    /// Duration of the first ejection; it doubles with each further one without a success in
+    /// between.
+    common::duration first_ejection = std::chrono::milliseconds{700};
+    common::duration max_ejection = std::chrono::milliseconds{5000};
+    /// Minimum number of failures over all entries for which a server is ejected at all of them, if
+    /// its failure rate also exceeds the mean by `excess`. Two failures may be a server that stops,
+    /// or a coincidence.
+    double min_failures = 3.0;
 };
 
-/// What one entry has seen lately of a server that failed there, for its peers. Servers are named
-/// by a hash of their id; counts forget within some seconds.
+/// Recent outcomes at a server with failures, as sent to peers. `server` is a hash of the server
+/// instance; the counts decay within some seconds.
 struct outcome_report {
     std::uint64_t server = 0;
     double good = 0.0;
     double bad = 0.0;
 };
 
-/// Which servers rest, judged by the outcomes of requests. Status checks of a server may be good
-/// while its requests fail; only requests show that.
+/// Ejects servers by the outcomes of requests (passive health checking). A server's status check
+/// may succeed while its requests fail, so only requests show this.
 ///
-/// Entries tell each other of servers that failed. With 26 of them each meets a given server once
-/// in some seconds, so that each on its own has to fail there twice before it leaves the server
-/// alone: some fifty callers' requests for one server, where three show it.
+/// Entries report servers with failures to each other. With 26 entries each of them uses a given
+/// server only once in some seconds, and on its own each would need two failures before it ejects
+/// the server: some fifty failed requests, where three are enough.
 class server_health {
 public:
     explicit server_health(health_options options) : settings(options) {}
 
     auto note(const server_instance& server, server_outcome outcome, time_point now) -> void;
 
-    [[nodiscard]] auto is_resting(const server_instance& server, time_point now) const -> bool;
+    [[nodiscard]] auto is_ejected(const server_instance& server, time_point now) const -> bool;
 
-    /// Share of failures, 0 to 1, newest weighted most.
+    /// Failure rate, 0 to 1, as a moving average.
     [[nodiscard]] auto failures(const server_instance& server) const -> double;
 
-    /// Forgets those that `is_gone`.
+    /// Removes the servers for which `is_gone` returns true.
     auto forget_if(const std::function<auto(const server_instance& server)->bool>& is_gone) -> void;
 
-    /// For the peers.
-    [[nodiscard]] auto tell(time_point now) const -> std::vector<outcome_report>;
+    /// Report to send to peers.
+    [[nodiscard]] auto make_reports(time_point now) const -> std::vector<outcome_report>;
 
-    /// A peer's words replace its older ones, and count until `trusted_until`.
-    auto hear(
+    /// Replaces a peer's earlier report. The report counts until `trusted_until`.
+    auto apply_reports(
         const common::host_id& peer,
-        const std::vector<outcome_report>& words,
+        const std::vector<outcome_report>& reports,
         time_point trusted_until,
         time_point now) -> void;
 
 private:
-    /// How often and for how long a server has been left alone.
-    struct rests {
+    /// Number and end of a server's ejections.
+    struct ejection {
         unsigned count = 0;
         time_point until{};
     };
 
-    /// Outcomes of the last seconds.
+    /// Outcomes of the last seconds, decayed to `counted_at`.
     struct recent_outcomes {
         double good = 0.0;
         double bad = 0.0;
@@ -99,7 +101,7 @@
 
     struct record {
         double failures = 0.0;
-        rests own;
+        ejection own;
         recent_outcomes recent;
     };
 
@@ -108,20 +110,20 @@
         std::unordered_map<std::uint64_t, outcome_report> servers;
     };
 
-    auto rest(rests& of, time_point now) const -> void;
-    /// Whether this share of failures is more than the service's usual one.
+    auto eject(ejection& of, time_point now) const -> void;
+    /// Whether this failure rate exceeds the service's usual one by too much.
     [[nodiscard]] auto is_excessive(double share) const -> bool;
-    [[nodiscard]] static auto faded(const recent_outcomes& of, time_point now) -> recent_outcomes;
-    /// Own and peers' outcomes of a server together.
+    [[nodiscard]] static auto decayed(const recent_outcomes& of, time_point now) -> recent_outcomes;
+    /// Outcomes at a server from this entry and its peers.
     [[nodiscard]] auto pooled(std::uint64_t server, time_point now) const -> recent_outcomes;
-    /// Mean number of own outcomes of one server.
-    [[nodiscard]] auto usual_outcomes(time_point now) const -> double;
+    /// Mean number of this entry's recent outcomes per server.
+    [[nodiscard]] auto mean_outcomes(time_point now) const -> double;
     auto judge_pooled(std::uint64_t server, time_point now) -> void;
 
     health_options settings;
     std::unordered_map<server_instance, record> servers;
-    /// By the hash of the server's id.
-    std::unordered_map<std::uint64_t, rests> pooled_rests;
+    /// By `hash_of` the server instance.
+    std::unordered_map<std::uint64_t, ejection> pooled_ejections;
     std::map<common::host_id, peer_report> peers;
     double mean_failures = 0.0;
 };
--- a/source/core/routing/server_instance.cpp
+++ b/source/core/routing/server_instance.cpp
@@ -9,24 +9,24 @@
     return placement::affinity_hash(server.value());
 }
 
-auto hash_of(const server_instance& start) -> std::uint64_t
+auto hash_of(const server_instance& instance) -> std::uint64_t
 {
-    // A server that says no start has the hash of its id, as entries of earlier releases name it.
-    return start.born == start_time{0}
-               ? hash_of(start.id)
-               : placement::affinity_weight(hash_of(start.id), start.born.value());
+    // Without a start time the hash is that of the id, as entries of earlier releases use it.
+    return instance.started_at == start_time{0}
+               ? hash_of(instance.id)
+               : placement::affinity_weight(hash_of(instance.id), instance.started_at.value());
 }
 
-auto to_string(const server_instance& start) -> std::string
+auto to_string(const server_instance& instance) -> std::string
 {
-    return start.born == start_time{0}
-               ? start.id.value()
-               : start.id.value() + "@" + std::to_string(start.born.value());
+    return instance.started_at == start_time{0}
+               ? instance.id.value()
+               : instance.id.value() + "@" + std::to_string(instance.started_at.value());
 }
 
-auto operator<<(std::ostream& out, const server_instance& start) -> std::ostream&
+auto operator<<(std::ostream& out, const server_instance& instance) -> std::ostream&
 {
-    return out << to_string(start);
+    return out << to_string(instance);
 }
 
 } // namespace reedramp::routing
