--- a/source/core/routing/server_limiter.hpp
+++ b/source/core/routing/server_limiter.hpp
@@ -10,96 +10,97 @@
 namespace reedramp::routing {
 
 struct server_limiter_options {
-    /// A cold server bears this many times its service's rate, and this many requests more, in a
-    /// second; above that it fails.
+    /// A cold server can handle its service's cold rate times `cold_excess`, plus `cold_slack`
+    /// requests, per second; it fails above that.
     double cold_excess = 1.0;
     double cold_slack = 0.0;
-    /// The part of that which all entries together aim at. Views of how many entries there are may
-    /// differ by half, and a turn that opened late in one second may be used early in the next.
-    double cold_part = 0.25;
-    /// The part of a limit that a server has named: half of the entries may take themselves for
-    /// all, when the others have just started.
-    double limit_part = 0.8;
-    /// A server is asked so many times a second at the least, whatever limit it has named: no
-    /// answer could take the limit back else.
-    double least_per_second = 0.1;
+    /// The fraction of that which all entries together use. Entries' views of their number may
+    /// differ by half, and a slot that opened late in one second may be used early in the next.
+    double cold_fraction = 0.25;
+    /// The fraction of a server's stated limit which all entries together use: half of the entries
+    /// may believe that they are all, if the others have just started.
+    double limit_fraction = 0.8;
+    /// Minimum request rate of a server, whatever limit it stated: otherwise no answer could lift
+    /// the limit.
+    double min_per_second = 0.1;
 };
 
-/// What servers take: how many requests a second from all entries together, with this entry's part
-/// of that, and none for a time from an entry that a server asks for rest. A server that is cold,
-/// or that has named a limit, takes requests in turns; any other one takes all.
+/// Limits the requests to servers: a rate over all entries, of which this entry uses its part, and
+/// no requests during a backoff that a server asked of this entry. A server that is cold, or that
+/// stated a limit, receives requests only in send slots; other servers are not limited.
 class server_limiter {
 public:
     server_limiter(server_limiter_options options, send_slot_hooks hooks);
 
-    /// What servers have named in their answers.
-    [[nodiscard]] auto limits() -> server_limits& { return this->named; }
+    /// The limits that servers stated in their responses.
+    [[nodiscard]] auto limits() -> server_limits& { return this->stated; }
 
-    [[nodiscard]] auto limits() const -> const server_limits& { return this->named; }
+    [[nodiscard]] auto limits() const -> const server_limits& { return this->stated; }
 
-    /// Whether the server is cold, where a cold one of its service bears `cold_per_second`; 0 if it
-    /// bears all.
+    /// Whether the server is limited because it is cold. `cold_per_second` is the rate that a cold
+    /// server of its service can handle; 0 if it needs no limit.
     [[nodiscard]] static auto
-    is_spared(const registration& server, double cold_per_second, time_point now) -> bool
+    is_limited_as_cold(const registration& server, double cold_per_second, time_point now) -> bool
     {
         return cold_per_second > 0.0 && server.is_cold(now);
     }
 
-    /// Whether the server has named a limit.
+    /// Whether the server stated a limit.
     [[nodiscard]] auto is_limited(const registration& server) const -> bool
     {
         return this->limit_of(server).has_value();
     }
 
-    /// Whether it takes fewer requests than others: it is cold, limited, or rests.
-    [[nodiscard]] auto takes_few(const registration& server, time_point now) const -> bool;
+    /// Whether it accepts fewer requests than others: it is cold, limited, or asked for a backoff.
+    [[nodiscard]] auto is_restricted(const registration& server, time_point now) const -> bool;
 
-    /// The server wants nothing from this entry before `until`. Of two rests the later end counts.
-    auto note_rest(const server_instance& server, time_point until) -> void;
+    /// Records that the server wants no requests from this entry before `until`. Of two backoffs
+    /// the later end counts.
+    auto note_backoff(const server_instance& server, time_point until) -> void;
 
-    /// Until when it wants nothing; a moment that has passed if it takes requests.
-    [[nodiscard]] auto rests_until(const registration& server) const -> time_point;
+    /// Returns the end of its backoff; a time in the past if there is none.
+    [[nodiscard]] auto backoff_until(const registration& server) const -> time_point;
 
-    /// Whether a request may go to the server now; `cold_per_second` as above, here and below.
+    /// Whether a request may be sent to the server now; `cold_per_second` as above, here and below.
     [[nodiscard]] auto
-    may_take(const registration& server, double cold_per_second, time_point now) const -> bool;
+    may_send(const registration& server, double cold_per_second, time_point now) const -> bool;
 
-    /// When a request may go to the server next: `now` where it may.
+    /// Returns when a request may next be sent to the server: `now` if it may at once.
     [[nodiscard]] auto
-    next_turn(const registration& server, double cold_per_second, time_point now) const
+    next_slot(const registration& server, double cold_per_second, time_point now) const
         -> time_point;
 
-    /// When a caller should come back for the server that finds none now: at the next turn while it
-    /// has a limit, which may last; else when it takes all again.
+    /// Returns when a caller should retry if the server can't be used now: at the next slot if it
+    /// has a limit, which may last; otherwise when it accepts all requests again.
     [[nodiscard]] auto
-    takes_callers_at(const registration& server, double cold_per_second, time_point now) const
+    caller_retry_at(const registration& server, double cold_per_second, time_point now) const
         -> time_point;
 
-    /// A request goes to the server.
+    /// Records a send to the server.
     auto note_sent(const registration& server, double cold_per_second, time_point now) -> void;
 
-    /// Forgets servers that `is_gone`, and words of long ago.
+    /// Removes the servers for which `is_gone` returns true, and expired backoffs and limits.
     auto forget_if(
         const std::function<auto(const server_instance& server)->bool>& is_gone, time_point now)
         -> void;
 
 private:
-    // Most of the time no server has asked for anything, and a choice looks at a dozen: nothing is
-    // looked up then.
+    // Usually no server has stated a limit, and a choice checks a dozen servers: the lookup is
+    // skipped then.
     [[nodiscard]] auto limit_of(const registration& server) const -> std::optional<double>
     {
-        return this->named.has_any() ? this->named.per_second(server.start()) : std::nullopt;
+        return this->stated.has_any() ? this->stated.per_second(server.instance()) : std::nullopt;
     }
 
-    /// Requests a second that all entries aim at; none: any number.
+    /// Request rate that all entries together aim at; empty if unlimited.
     [[nodiscard]] auto
-    aimed_per_second(const registration& server, double cold_per_second, time_point now) const
+    target_per_second(const registration& server, double cold_per_second, time_point now) const
         -> std::optional<double>;
 
     server_limiter_options settings;
-    server_limits named;
-    send_slot_schedule turns;
-    std::unordered_map<server_instance, time_point> rests;
+    server_limits stated;
+    send_slot_schedule slots;
+    std::unordered_map<server_instance, time_point> backoffs;
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/server_limits.hpp
+++ b/source/core/routing/server_limits.hpp
@@ -15,75 +15,75 @@
 
 using common::time_point;
 
-/// What an entry has read of a server's limit in an answer, for its peers.
+/// A server's limit, as read by one entry from a response and sent to its peers.
 struct limit_report {
-    /// `hash_of` the start.
+    /// `hash_of` the server instance.
     std::uint64_t server = 0;
-    /// Requests a second from all entries together; none: it takes any number.
+    /// Requests per second from all entries together; empty if unlimited.
     std::optional<double> per_second;
-    /// Since the answer.
+    /// Time since the response.
     std::chrono::milliseconds age{0};
 };
 
-/// What a word about a server's limit did.
+/// Effect of a statement about a server's limit.
 enum class limit_change : std::uint8_t {
     none,
-    /// It takes a limited number from now on.
-    named,
-    /// Another number, by more than a tenth.
+    /// The server has a limit from now on.
+    imposed,
+    /// The limit changed by more than a tenth.
     changed,
-    /// It takes any number again.
+    /// The server has no limit any more.
     lifted,
 };
 
-/// How many requests a second servers say that they take from all entries together.
+/// Keeps the limits that servers state, in requests per second from all entries together.
 ///
-/// A server says so in its answers, for as long as it holds; the first answer without it ends it.
-/// The newest answer counts, whichever entry got it. Entries tell each other only of answers that
-/// they got themselves: words that were passed on would grow younger with each hop, and one that
-/// has been taken back would go round among many entries.
+/// A server states its limit in its responses for as long as it applies; the first response without
+/// one lifts it. The newest response counts, whichever entry received it. Entries report only
+/// responses that they received themselves: forwarded reports would appear younger with each hop,
+/// and a lifted limit would keep circulating among many entries.
 class server_limits {
 public:
-    /// An answer of the server has come here.
+    /// Records a response that this entry received from the server.
     auto note(const server_instance& server, std::optional<double> per_second, time_point now)
         -> limit_change;
 
-    /// An answer names what is no limit. True the first time.
-    auto note_odd(const server_instance& server) -> bool;
+    /// Records a response with a malformed limit. Returns true the first time for a server.
+    auto note_malformed(const server_instance& server) -> bool;
 
-    /// A peer's word.
-    auto hear(const limit_report& told, time_point now) -> limit_change;
+    /// Applies a peer's report.
+    auto apply_report(const limit_report& report, time_point now) -> limit_change;
 
-    /// For the peers, the newest words first.
-    [[nodiscard]] auto tell(time_point now) const -> std::vector<limit_report>;
+    /// Reports to send to peers, the newest first.
+    [[nodiscard]] auto make_reports(time_point now) const -> std::vector<limit_report>;
 
     /// Whether any server has a limit.
     [[nodiscard]] auto has_any() const -> bool { return this->limited > 0; }
 
-    /// Requests a second from all entries together; none: it takes any number.
+    /// Requests per second from all entries together; empty if unlimited.
     [[nodiscard]] auto per_second(const server_instance& server) const -> std::optional<double>;
 
-    /// Forgets words of long ago.
+    /// Removes old statements.
     auto forget_old(time_point now) -> void;
 
 private:
-    struct word {
+    struct statement {
         std::optional<double> per_second;
         time_point said_at;
-        /// The answer came to this entry.
+        /// Whether this entry received the response itself.
         bool is_own = false;
-        /// The number when it last counted as changed.
-        double marked = 0.0;
+        /// The limit when a change was last announced.
+        double last_announced = 0.0;
     };
 
-    auto take(std::uint64_t server, const word& newest) -> limit_change;
+    auto update(std::uint64_t server, const statement& newest) -> limit_change;
 
-    /// By the hash of the server's start.
-    std::unordered_map<std::uint64_t, word> words;
-    /// Servers with a limit.
+    /// By `hash_of` the server instance.
+    std::unordered_map<std::uint64_t, statement> statements;
+    /// Number of servers with a limit.
     std::size_t limited = 0;
-    /// Servers that have named what is no limit, by the same hash.
-    std::unordered_set<std::uint64_t> odd;
+    /// Servers that stated a malformed limit, by the same hash.
+    std::unordered_set<std::uint64_t> malformed_seen;
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/server_speed_tracker.cpp
+++ b/source/core/routing/server_speed_tracker.cpp
@@ -8,27 +8,29 @@
 
 namespace {
 
-/// Work that stands for what each request costs besides its tokens: the way there and a step.
+/// Fixed cost of each request besides its tokens, in units of work: the network round trip and one
+/// step.
 constexpr double fixed_work = 500.0;
-/// Weight of the newest sample of a server, once it has enough of them; prompts differ by tens, and
-/// so do single samples.
+/// Weight of a server's newest sample once it has enough of them. Prompts differ by factors of ten,
+/// and so do single samples.
 constexpr double memory = 0.08;
-/// The same for the sums over all servers.
+/// Weight of the newest sample in the sums over all servers.
 constexpr double sum_memory = 0.02;
-/// A server counts as one like the others until it has this many samples.
-constexpr unsigned least_samples = 4;
-/// Bounds of what is believed. Servers of one service are alike but for a third. One that looks
-/// much faster was idle when it was asked, or held the prompts; taken at its word, it got all new
-/// requests of an entry for a second, was slow for that, and the next one got them.
-constexpr double least_slowness = 0.7;
-constexpr double most_slowness = 10.0;
+/// Samples needed before a server's own speed is used.
+constexpr unsigned min_samples = 4;
+/// Bounds of the estimate. Servers of one service differ by no more than a third. A server that
+/// appears much faster was idle when it was used, or had the prompts cached; without a lower bound
+/// it attracted all new requests of an entry for a second, became slow, and the next server
+/// attracted them.
+constexpr double min_slowness = 0.7;
+constexpr double max_slowness = 10.0;
 
 } // namespace
 
 auto server_speed_tracker::add_sample(record& to, double sample, double weight_of_newest) -> void
 {
     to.samples += 1;
-    // The first samples count alike; else the very first one would stand for many.
+    // The first samples have equal weight; otherwise the very first one would dominate.
     const auto weight = std::max(weight_of_newest, 1.0 / static_cast<double>(to.samples));
     to.time_per_work += weight * (sample - to.time_per_work);
 }
@@ -38,7 +40,7 @@
 {
     const auto sample = static_cast<double>(took.count()) / (work + fixed_work);
     add_sample(this->servers[server], sample, memory);
-    this->find_usual();
+    this->update_median();
     constexpr double kept = 1.0 - sum_memory;
     this->time_sum = this->time_sum * kept + static_cast<double>(took.count());
     this->work_sum = this->work_sum * kept + work + fixed_work;
@@ -55,27 +57,27 @@
 {
     const auto found = this->servers.find(server);
     const bool is_known =
-        found != this->servers.end() && found->second.samples >= least_samples && this->usual > 0.0;
+        found != this->servers.end() && found->second.samples >= min_samples && this->median > 0.0;
     if (!is_known) {
         return 1.0;
     }
-    return std::clamp(found->second.time_per_work / this->usual, least_slowness, most_slowness);
+    return std::clamp(found->second.time_per_work / this->median, min_slowness, max_slowness);
 }
 
-auto server_speed_tracker::find_usual() -> void
+auto server_speed_tracker::update_median() -> void
 {
-    std::vector<double> paces;
+    std::vector<double> times;
     for (const auto& [id, one] : this->servers) {
-        if (one.samples >= least_samples) {
-            paces.push_back(one.time_per_work);
+        if (one.samples >= min_samples) {
+            times.push_back(one.time_per_work);
         }
     }
-    if (paces.empty()) {
+    if (times.empty()) {
         return;
     }
-    const auto middle = paces.begin() + static_cast<std::ptrdiff_t>(paces.size() / 2);
-    std::ranges::nth_element(paces, middle);
-    this->usual = *middle;
+    const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
+    std::ranges::nth_element(times, middle);
+    this->median = *middle;
 }
 
 auto server_speed_tracker::forget_if(
--- a/source/core/routing/server_table.cpp
+++ b/source/core/routing/server_table.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// A start that has not been heard of for so long is over: servers write each 1.2 s, lapse after
-/// three times that, and what they wrote may come some seconds late.
+/// An instance without a registration for this time is over: servers register every 1.2 s, lapse
+/// after three times that, and their registrations may arrive some seconds late.
 constexpr std::chrono::seconds silent_after{10};
 
-/// What is read of a server may be a second old, and its cold time seems to end so much later.
+/// A registration may be read up to a second late, which shifts the end of its cold time by as
+/// much.
 constexpr std::chrono::seconds warmth_read_late{1};
 
 } // namespace
@@ -59,28 +60,29 @@
 auto server_table::is_late(const registration& read, const known_server& known, time_point now)
     -> bool
 {
-    // A start that can't be true yet ranks behind none; its server's clock was wrong.
-    return read.born < known.last.born && !known.last.is_born_ahead &&
-           now - known.heard_at <= silent_after;
+    // An instance that starts in the future precedes none: its server's clock was wrong.
+    return read.started_at < known.last.started_at && !known.last.starts_in_future &&
+           now - known.last_report_at <= silent_after;
 }
 
-auto server_table::take(const registration& read, time_point now) -> table_event
+auto server_table::apply_registration(const registration& read, time_point now) -> table_event
 {
     const auto found = this->servers.find(read.id);
     if (found == this->servers.end()) {
         return this->begin(read, now);
     }
     auto& known = found->second;
-    const bool says_no_start = read.born == start_time{0} && known.last.born != start_time{0};
+    const bool says_no_start =
+        read.started_at == start_time{0} && known.last.started_at != start_time{0};
     if (says_no_start) {
-        return this->spoil(read.id);
+        return this->mark_unreadable(read.id);
     }
     if (is_late(read, known, now)) {
-        return std::exchange(known.has_late_word, true) ? table_event::none : table_event::late;
+        return std::exchange(known.has_late_report, true) ? table_event::none : table_event::late;
     }
-    known.has_late_word = false;
-    known.heard_at = now;
-    if (read.born != known.last.born) {
+    known.has_late_report = false;
+    known.last_report_at = now;
+    if (read.started_at != known.last.started_at) {
         const bool had_work = known.gets_work();
         const auto began = this->begin(read, now);
         if (began == table_event::usable) {
@@ -121,13 +123,13 @@
     return after + warmth_read_late < before ? table_event::warm : table_event::none;
 }
 
-auto server_table::close(const std::set<common::data_centre_id>& evacuated) -> void
+auto server_table::set_evacuated(const std::set<common::data_centre_id>& evacuated) -> void
 {
-    this->closed = evacuated;
+    this->evacuated_centres = evacuated;
     this->forget_usable();
 }
 
-auto server_table::doubt_warmth(const common::data_centre_id& data_centre, time_point until) -> void
+auto server_table::assume_cold(const common::data_centre_id& data_centre, time_point until) -> void
 {
     for (auto& [id, known] : this->servers) {
         if (known.last.data_centre == data_centre) {
@@ -155,7 +157,7 @@
     const bool had_work = server.gets_work();
     server.state = server_state::leaving;
     this->forget_usable();
-    this->gone.note_leaving(server.last.start(), now);
+    this->departures.note_leaving(server.last.instance(), now);
     return had_work ? table_event::leaving : table_event::none;
 }
 
@@ -176,7 +178,7 @@
     return table_event::lapsed;
 }
 
-auto server_table::spoil(const common::server_id& id) -> table_event
+auto server_table::mark_unreadable(const common::server_id& id) -> table_event
 {
     const auto found = this->servers.find(id);
     if (found == this->servers.end()) {
@@ -192,8 +194,8 @@
 
 auto server_table::begin_unreadable(const common::server_id& id) -> table_event
 {
-    // Kept only so that it is said once; whoever fills the list with rubbish gets no memory.
-    if (this->servers.size() >= most_left) {
+    // Kept only so that it is reported once; invalid records must not use up memory.
+    if (this->servers.size() >= max_left) {
         return table_event::none;
     }
     auto& known = this->servers[id];
@@ -202,49 +204,50 @@
     return table_event::unreadable;
 }
 
-auto server_table::retire(const server_instance& start, time_point now) -> void
+auto server_table::mark_leaving(const server_instance& instance, time_point now) -> void
 {
-    auto& known = this->servers[start.id];
-    if (known.last.id != start.id) {
-        known.last.id = start.id;
-        known.last.born = start.born;
+    auto& known = this->servers[instance.id];
+    if (known.last.id != instance.id) {
+        known.last.id = instance.id;
+        known.last.started_at = instance.started_at;
     }
-    if (known.last.born == start.born) {
+    if (known.last.started_at == instance.started_at) {
         this->set_leaving(known, now);
     }
 }
 
-auto server_table::end_lapsed(std::uint64_t read_to, time_point now) -> std::vector<server_instance>
+auto server_table::remove_lapsed(std::uint64_t read_to, time_point now)
+    -> std::vector<server_instance>
 {
     std::vector<server_instance> ended;
     std::erase_if(this->servers, [&ended](const auto& item) {
         if (item.second.state == server_state::lapsed) {
-            ended.push_back(item.second.last.start());
+            ended.push_back(item.second.last.instance());
         }
         return item.second.state == server_state::lapsed;
     });
     if (!ended.empty()) {
         this->forget_usable();
     }
-    for (const auto& start : ended) {
-        this->gone.note_end_read(start, read_to, now);
+    for (const auto& instance : ended) {
+        this->departures.note_end_read(instance, read_to, now);
     }
     return ended;
 }
 
-auto server_table::drop(const server_instance& start, time_point now) -> void
+auto server_table::remove_replaced(const server_instance& instance, time_point now) -> void
 {
-    const auto found = this->servers.find(start.id);
+    const auto found = this->servers.find(instance.id);
     const bool is_meant = found != this->servers.end() && found->second.gets_work() &&
-                          found->second.last.start() == start;
+                          found->second.last.instance() == instance;
     if (is_meant) {
-        this->gone.note_ended(start, now);
+        this->departures.note_ended(instance, now);
         this->servers.erase(found);
         this->forget_usable();
     }
 }
 
-auto server_table::forget_left(time_point now) -> void
+auto server_table::expire_left(time_point now) -> void
 {
     std::vector<std::pair<time_point, common::server_id>> left;
     for (const auto& [id, known] : this->servers) {
@@ -253,10 +256,10 @@
         }
     }
     std::ranges::sort(left);
-    this->gone.forget_told(now);
-    const auto surplus = left.size() > most_left ? left.size() - most_left : 0;
+    this->departures.expire_reports(now);
+    const auto surplus = left.size() > max_left ? left.size() - max_left : 0;
     for (std::size_t i = 0; i < left.size(); ++i) {
-        if (i < surplus || now - left[i].first > left_kept_for) {
+        if (i < surplus || now - left[i].first > left_retention) {
             this->servers.erase(left[i].second);
         }
     }
@@ -265,10 +268,10 @@
 auto server_table::apply(const registration_change& change) -> void
 {
     if (change.now) {
-        this->take(*change.now, {});
+        this->apply_registration(*change.now, {});
     }
     else if (!change.problem.empty()) {
-        this->spoil(change.id);
+        this->mark_unreadable(change.id);
     }
     else if (this->lapse(change.id) == table_event::lapsed) {
         this->servers.erase(change.id);
@@ -276,27 +279,27 @@
     }
 }
 
-auto server_table::retire_named(const std::vector<std::uint64_t>& hashes, time_point now)
+auto server_table::mark_leaving_by_hash(const std::vector<std::uint64_t>& hashes, time_point now)
     -> std::vector<server_instance>
 {
-    // Forty messages a second, and mostly there is nothing in them.
+    // There are forty messages per second, and most contain none.
     if (hashes.empty()) {
         return {};
     }
     std::vector<server_instance> named;
     for (auto& [id, known] : this->servers) {
-        const auto start = known.last.start();
-        if (std::ranges::find(hashes, hash_of(start)) == hashes.end()) {
+        const auto instance = known.last.instance();
+        if (std::ranges::find(hashes, hash_of(instance)) == hashes.end()) {
             continue;
         }
         if (this->set_leaving(known, now) == table_event::leaving) {
-            named.push_back(start);
+            named.push_back(instance);
         }
     }
     return named;
 }
 
-auto server_table::end_named(
+auto server_table::end_by_hash(
     const std::vector<ended_report>& ends, std::uint64_t read_to, time_point now)
     -> std::vector<server_instance>
 {
@@ -305,19 +308,19 @@
     }
     std::vector<server_instance> ended;
     std::erase_if(this->servers, [&](const auto& item) {
-        const auto start = item.second.last.start();
-        const auto hash = hash_of(start);
+        const auto instance = item.second.last.instance();
+        const auto hash = hash_of(instance);
         const auto is_meant = [hash, read_to](const ended_report& end) {
             return end.read_to > read_to && end.server == hash;
         };
         const bool ends_here = item.second.gets_work() && std::ranges::any_of(ends, is_meant);
         if (ends_here) {
-            ended.push_back(start);
+            ended.push_back(instance);
         }
         return ends_here;
     });
-    for (const auto& start : ended) {
-        this->gone.note_ended(start, now);
+    for (const auto& instance : ended) {
+        this->departures.note_ended(instance, now);
     }
     if (!ended.empty()) {
         this->forget_usable();
@@ -354,10 +357,10 @@
     std::vector<registration_change> all;
     for (const auto& [id, known] : this->servers) {
         if (known.state == server_state::unreadable) {
-            all.push_back({id, std::nullopt, "unreadable for a neighbour"});
+            all.push_back({id, std::nullopt, "unreadable at a neighbour"});
             continue;
         }
-        // One that is known to leave by hearsay alone has no record to hand on.
+        // A server that is only reported to be leaving has no registration to forward.
         if (known.state == server_state::lapsed || known.last.address.empty()) {
             continue;
         }
@@ -377,7 +380,7 @@
     const auto [found, is_new] = this->usable_by_service.try_emplace(service);
     if (is_new) {
         for (const auto& [id, known] : this->servers) {
-            const bool is_open = !this->closed.contains(known.last.data_centre);
+            const bool is_open = !this->evacuated_centres.contains(known.last.data_centre);
             if (is_open && known.gets_work() && known.last.service == service) {
                 found->second.push_back(&known.last);
             }
@@ -393,11 +396,11 @@
     return gets_work ? &found->second.last : nullptr;
 }
 
-auto server_table::find_named(std::uint64_t hash) const -> std::optional<server_instance>
+auto server_table::find_by_hash(std::uint64_t hash) const -> std::optional<server_instance>
 {
     for (const auto& [id, known] : this->servers) {
-        if (known.gets_work() && hash_of(known.last.start()) == hash) {
-            return known.last.start();
+        if (known.gets_work() && hash_of(known.last.instance()) == hash) {
+            return known.last.instance();
         }
     }
     return std::nullopt;
@@ -419,7 +422,7 @@
 {
     std::uint64_t sum = 0;
     for (const auto& [id, known] : this->servers) {
-        sum += known.gets_work() ? hash_of(known.last.start()) : 0;
+        sum += known.gets_work() ? hash_of(known.last.instance()) : 0;
     }
     return sum;
 }
--- a/source/core/routing/server_table.hpp
+++ b/source/core/routing/server_table.hpp
@@ -15,169 +15,174 @@
 
 namespace reedramp::routing {
 
-/// What is known of a server, and whether it gets work.
+/// State of a server, which decides whether it receives requests.
 enum class server_state : std::uint8_t {
-    /// Registered: gets work.
+    /// Registered: receives requests.
     usable,
-    /// Its registration has ended soon after an outage of the store, in which registrations lapse
-    /// of servers that work on: gets work until that is known.
+    /// Its registration ended soon after an outage of the store, in which registrations of running
+    /// servers lapse: receives requests until it is known whether it still runs.
     lapsed,
-    /// The record under its id is no registration. Another writer's, as a rule; the next one that
-    /// the server writes brings it back. Until then its address may be anybody's: no work.
+    /// The record under its id is not a valid registration, usually because something else wrote
+    /// it. The server's next registration restores it. Until then its address may belong to
+    /// anything: receives no requests.
     unreadable,
-    /// It has said that it leaves, here or to a peer: no work for this start of it, whatever is
-    /// read of it later.
+    /// It announced that it leaves, to this entry or a peer: this instance receives no more
+    /// requests, whatever is read about it later.
     leaving,
 };
 
 auto to_string(server_state state) -> std::string_view;
 
-/// What a word of a server did.
+/// Effect of a registration, or of its end.
 enum class table_event : std::uint8_t {
-    /// Nothing that concerns who gets work.
+    /// No change in which servers receive requests.
     none,
-    /// It gets work from now on.
+    /// The server receives requests from now on.
     usable,
-    /// The same, and it is a later start under its id.
+    /// As `usable`, and it is a later instance under its id.
     restarted,
     leaving,
     lapsed,
     unreadable,
-    /// It has turned cold, or stays so for longer than was known.
+    /// It is cold now, or stays cold for longer than was known.
     cold,
-    /// It is warm sooner than was known.
+    /// It is warm earlier than was known.
     warm,
-    /// The word was of an earlier start, and changed nothing.
+    /// The registration was of an earlier instance, and was ignored.
     late,
 };
 
 auto to_string(table_event event) -> std::string_view;
 
-/// The backend servers, what state each is in, and so which may get work.
+/// Table of the backend servers with their states, and so of the servers that may receive requests.
 ///
-///     take, ready:    (none) | lapsed | unreadable -> usable;  a later start: any state -> usable
-///     take, leaving:  any state -> leaving
-///     lapse:          usable -> lapsed;  unreadable -> (none)
-///     spoil:          (none) | usable | lapsed -> unreadable
-///     retire:         any state -> leaving
-///     end_lapsed:     lapsed -> (none)
-///     drop:           usable | lapsed -> (none)
-///     forget_left:    leaving -> (none)
+///     apply_registration, ready:    (none) | lapsed | unreadable -> usable
+///                                   later instance: any state -> usable
+///     apply_registration, leaving:  any state -> leaving
+///     lapse:                        usable -> lapsed;  unreadable -> (none)
+///     mark_unreadable:              (none) | usable | lapsed -> unreadable
+///     mark_leaving:                 any state -> leaving
+///     remove_lapsed:                lapsed -> (none)
+///     remove_replaced:              usable | lapsed -> (none)
+///     expire_left:                  leaving -> (none)
 ///
-/// Leaving is final for a start. A list that lags, or is read again after an outage, may show a
-/// server that has already said that it leaves; taking it back would send it work after the time
-/// that it granted. Words of an earlier start than the known one change nothing: a registration
-/// that was read out of order, a write that came late, or a peer's message that was long on its
-/// way. Only a start that has fallen silent gives way to whatever comes: its server's clock was set
-/// back before it started again, and what it says now has to count, leaving above all.
+/// Leaving is final for an instance. A list that lags, or is read again after an outage, may show a
+/// server that already announced that it leaves; using it again would send it requests after the
+/// time that it granted. Registrations of an earlier instance than the known one are ignored: a
+/// registration read out of order, a delayed write, or a delayed message of a peer. The exception
+/// is a known instance that has been silent for too long: then the server's clock was set back
+/// before it restarted, and its new registrations have to count, above all that it leaves.
 class server_table {
 public:
-    /// A registration was read.
-    auto take(const registration& read, time_point now) -> table_event;
+    /// Applies a registration that was read.
+    auto apply_registration(const registration& read, time_point now) -> table_event;
 
-    /// The registration under an id has ended.
+    /// Records that the registration under an id has ended.
     auto lapse(const common::server_id& id) -> table_event;
 
-    /// The record under an id is no registration.
-    auto spoil(const common::server_id& id) -> table_event;
+    /// Records that the record under an id is not a valid registration.
+    auto mark_unreadable(const common::server_id& id) -> table_event;
 
-    /// This start leaves.
-    auto retire(const server_instance& start, time_point now = {}) -> void;
+    /// Records that this instance leaves.
+    auto mark_leaving(const server_instance& instance, time_point now = {}) -> void;
 
-    /// Takes out the servers whose registrations have ended; gives them. `read_to` as in
+    /// Removes and returns the servers whose registrations have ended. `read_to` as in
     /// `ended_report`.
-    auto end_lapsed(std::uint64_t read_to, time_point now) -> std::vector<server_instance>;
+    auto remove_lapsed(std::uint64_t read_to, time_point now) -> std::vector<server_instance>;
 
-    /// These data centres get no work.
-    auto close(const std::set<common::data_centre_id>& evacuated) -> void;
+    /// Sets the evacuated data centres, which receive no requests.
+    auto set_evacuated(const std::set<common::data_centre_id>& evacuated) -> void;
 
-    /// Servers of the data centre may be cold, and have not said so yet: they count as cold until
-    /// `until`, whatever is read of them.
-    auto doubt_warmth(const common::data_centre_id& data_centre, time_point until) -> void;
+    /// Treats the data centre's servers as cold until `until`, whatever they report, because they
+    /// may be cold and have not reported it yet.
+    auto assume_cold(const common::data_centre_id& data_centre, time_point until) -> void;
 
-    /// Another server answers at its address.
-    auto drop(const server_instance& start, time_point now = {}) -> void;
+    /// Removes an instance because another server answers at its address.
+    auto remove_replaced(const server_instance& instance, time_point now = {}) -> void;
 
-    /// Forgets servers that left long ago, and what peers need not be told any more.
-    auto forget_left(time_point now) -> void;
+    /// Removes servers that left long ago, and what need no longer be reported to peers.
+    auto expire_left(time_point now) -> void;
 
-    /// Applies a change that came in the order of the store, and believes an end at once.
+    /// Applies a change in the order of the store, and removes a server at once when its
+    /// registration ends.
     auto apply(const registration_change& change) -> void;
 
-    /// Hashes of the starts that have said that they leave, the newest ones, for the peers.
+    /// Hashes of the most recent instances that announced that they leave, for reports to peers.
     [[nodiscard]] auto leaving() const -> std::vector<std::uint64_t>
     {
-        return this->gone.leaving();
+        return this->departures.leaving();
     }
 
-    /// A peer has read that these leave. Gives those that had work until now.
-    auto retire_named(const std::vector<std::uint64_t>& hashes, time_point now = {})
+    /// Applies a peer's report that these instances leave. Returns those that were receiving
+    /// requests.
+    auto mark_leaving_by_hash(const std::vector<std::uint64_t>& hashes, time_point now = {})
         -> std::vector<server_instance>;
 
-    /// Registrations that ended in the last seconds, for the peers.
+    /// Registrations that ended within the last seconds, for reports to peers.
     [[nodiscard]] auto ended(time_point now) const -> std::vector<ended_report>
     {
-        return this->gone.ended(now);
+        return this->departures.ended(now);
     }
 
-    /// Whether this start ended in the last minutes, as far as this entry knows.
-    [[nodiscard]] auto has_ended(const server_instance& start) const -> bool
+    /// Whether this instance ended within the last minutes, as far as this entry knows.
+    [[nodiscard]] auto has_ended(const server_instance& instance) const -> bool
     {
-        return this->gone.has_ended(start);
+        return this->departures.has_ended(instance);
     }
 
-    /// A peer has read that these registrations ended. Those that this entry, which has read the
-    /// list up to `read_to`, cannot know of yet are taken out; gives them. They may return.
+    /// Applies a peer's report that these registrations ended. Removes and returns those whose end
+    /// this entry, which has read the list up to `read_to`, can't know of yet. They may return.
     auto
-    end_named(const std::vector<ended_report>& ends, std::uint64_t read_to, time_point now = {})
+    end_by_hash(const std::vector<ended_report>& ends, std::uint64_t read_to, time_point now = {})
         -> std::vector<server_instance>;
 
-    /// All that may get work.
+    /// Ids of all servers that may receive requests.
     [[nodiscard]] auto ids() const -> std::vector<common::server_id>;
 
-    /// Ids that a reading of the whole list would name, if nothing had changed.
+    /// Ids that reading the whole list would return if nothing had changed.
     [[nodiscard]] auto listed() const -> std::vector<common::server_id>;
 
-    /// What a reading of the whole list would give, for a neighbour that has none.
+    /// What reading the whole list would return, for a neighbour that has no list.
     [[nodiscard]] auto registrations(time_point now) const -> std::vector<registration_change>;
 
-    /// Servers of a service that may get new work. Kept from one look to the next while nothing
-    /// changes in who gets work; valid until the table changes.
+    /// Returns the servers of a service that may receive new requests. The result is cached and
+    /// valid until the table changes.
     [[nodiscard]] auto usable(const common::service_name& service) const
         -> const std::vector<const registration*>&;
 
-    /// Null unless it may get work.
+    /// Returns the server if it may receive requests, otherwise null.
     [[nodiscard]] auto find(const common::server_id& id) const -> const registration*;
 
-    /// The start with this hash, if it may get work; looks at all.
-    [[nodiscard]] auto find_named(std::uint64_t hash) const -> std::optional<server_instance>;
+    /// Returns the instance with this hash if it may receive requests. Linear in the number of
+    /// servers.
+    [[nodiscard]] auto find_by_hash(std::uint64_t hash) const -> std::optional<server_instance>;
 
     [[nodiscard]] auto state_of(const common::server_id& id) const -> std::optional<server_state>;
 
-    [[nodiscard]] auto is_retired(const common::server_id& id) const -> bool
+    [[nodiscard]] auto is_known_leaving(const common::server_id& id) const -> bool
     {
         return this->state_of(id) == server_state::leaving;
     }
 
     [[nodiscard]] auto has_lapsed() const -> bool;
 
-    /// Combined hash of the starts that may get work; equal where the same ones do.
+    /// Combined hash of the instances that may receive requests; equal for equal sets.
     [[nodiscard]] auto digest() const -> std::uint64_t;
 
-    /// How many may get work.
+    /// Number of servers that may receive requests.
     [[nodiscard]] auto size() const -> std::size_t;
 
 private:
     struct known_server {
         registration last;
         server_state state = server_state::usable;
-        /// When a word of this start was read last.
-        time_point heard_at{};
-        /// When it was last heard that it leaves.
+        /// When a registration of this instance was last read.
+        time_point last_report_at{};
+        /// When it was last reported to be leaving.
         time_point left_at{};
-        /// A word of an earlier start was read, and no other since.
-        bool has_late_word = false;
-        /// Counts as cold until then, whatever it says.
+        /// Whether the last registration read was of an earlier instance.
+        bool has_late_report = false;
+        /// Counts as cold until then, whatever it reports.
         time_point cold_at_least{};
 
         [[nodiscard]] auto gets_work() const -> bool
@@ -194,15 +199,15 @@
     [[nodiscard]] static auto
     is_late(const registration& read, const known_server& known, time_point now) -> bool;
 
-    /// Who gets work has changed, or whose service.
+    /// Clears the cache after a change of the servers that receive requests, or of their service.
     auto forget_usable() -> void { this->usable_by_service.clear(); }
 
     std::map<common::server_id, known_server> servers;
-    /// Data centres that get no work.
-    std::set<common::data_centre_id> closed;
-    /// What `usable` has found; each request asks.
+    /// Data centres that receive no requests.
+    std::set<common::data_centre_id> evacuated_centres;
+    /// Cache for `usable`, which is called for each request.
     mutable std::map<common::service_name, std::vector<const registration*>> usable_by_service;
-    departure_tracker gone;
+    departure_tracker departures;
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/session_table.cpp
+++ b/source/core/routing/session_table.cpp
@@ -12,7 +12,7 @@
 {
     auto& use = this->sessions[{service, session}];
     use.version = version;
-    use.under_way += 1;
+    use.in_flight += 1;
     this->sweep(now);
 }
 
@@ -24,8 +24,8 @@
         return;
     }
     auto& use = found->second;
-    use.under_way -= use.under_way > 0 ? 1 : 0;
-    // From the end on: a stream may take longer than the pauses that a session may make.
+    use.in_flight -= use.in_flight > 0 ? 1 : 0;
+    // Counted from the end, since a stream may take longer than the pauses within a session.
     use.until = now + this->time;
 }
 
@@ -34,7 +34,7 @@
     -> std::optional<common::version_id>
 {
     const auto found = this->sessions.find({service, session});
-    if (found == this->sessions.end() || !found->second.lasts(now)) {
+    if (found == this->sessions.end() || !found->second.is_active(now)) {
         return std::nullopt;
     }
     return found->second.version;
@@ -47,20 +47,21 @@
     std::size_t most,
     time_point now) const -> std::vector<session_report>
 {
-    std::vector<session_report> told;
+    std::vector<session_report> reports;
     const auto first = this->sessions.lower_bound({service, 0});
-    for (auto item = first; item != this->sessions.end() && told.size() < most; ++item) {
+    for (auto item = first; item != this->sessions.end() && reports.size() < most; ++item) {
         const auto& [key, use] = *item;
         if (key.first != service) {
             break;
         }
-        if (use.version == target || !use.lasts(now) || !is_meant(key.second)) {
+        if (use.version == target || !use.is_active(now) || !is_meant(key.second)) {
             continue;
         }
-        const auto left = use.under_way > 0 ? this->time : use.until - now;
-        told.push_back({key.second, std::chrono::duration_cast<std::chrono::milliseconds>(left)});
+        const auto left = use.in_flight > 0 ? this->time : use.until - now;
+        reports.push_back(
+            {key.second, std::chrono::duration_cast<std::chrono::milliseconds>(left)});
     }
-    return told;
+    return reports;
 }
 
 auto session_table::count_on_other_versions(
@@ -69,36 +70,36 @@
 {
     const auto lasts_elsewhere = [&](const auto& item) {
         const auto& [key, use] = item;
-        return key.first == service && use.version != target && use.lasts(now);
+        return key.first == service && use.version != target && use.is_active(now);
     };
     return static_cast<std::size_t>(std::ranges::count_if(this->sessions, lasts_elsewhere));
 }
 
-auto session_table::hear(
-    const common::service_name& service, const std::vector<session_report>& told, time_point now)
+auto session_table::apply_reports(
+    const common::service_name& service, const std::vector<session_report>& reports, time_point now)
     -> void
 {
-    for (const auto& one : told) {
-        auto& until = this->elsewhere[{service, one.session}];
+    for (const auto& one : reports) {
+        auto& until = this->peer_sessions[{service, one.session}];
         until = std::max(until, now + one.left);
     }
 }
 
-auto session_table::is_old_elsewhere(
+auto session_table::is_old_at_peer(
     const common::service_name& service, std::uint64_t session, time_point now) const -> bool
 {
-    const auto found = this->elsewhere.find({service, session});
-    return found != this->elsewhere.end() && found->second > now;
+    const auto found = this->peer_sessions.find({service, session});
+    return found != this->peer_sessions.end() && found->second > now;
 }
 
 auto session_table::sweep(time_point now) -> void
 {
-    if (now < this->swept + this->time) {
+    if (now < this->swept_at + this->time) {
         return;
     }
-    this->swept = now;
-    std::erase_if(this->sessions, [now](const auto& item) { return !item.second.lasts(now); });
-    std::erase_if(this->elsewhere, [now](const auto& item) { return item.second <= now; });
+    this->swept_at = now;
+    std::erase_if(this->sessions, [now](const auto& item) { return !item.second.is_active(now); });
+    std::erase_if(this->peer_sessions, [now](const auto& item) { return item.second <= now; });
 }
 
 } // namespace reedramp::routing
--- a/source/core/routing/session_table.hpp
+++ b/source/core/routing/session_table.hpp
@@ -16,24 +16,25 @@
 
 using common::time_point;
 
-/// A session that one entry keeps on an old version, as it tells its peers.
+/// A session that one entry keeps on an old version, as sent to peers.
 struct session_report {
     /// Hash of the session's name.
     std::uint64_t session = 0;
-    /// How long the session still belongs to that version if nothing more comes of it.
+    /// How long the session stays on that version without further requests.
     std::chrono::milliseconds left{0};
 };
 
-/// On which version each session was last served, by this entry and by its peers.
+/// The version that last served each session, at this entry and at its peers.
 ///
-/// A caller's requests reach several entries: the balancer spreads connections, and retries go
-/// elsewhere. An entry that knew only its own requests would take a session that another entry has
-/// just served on the old version for a new one, and move it in the middle of a talk. So while a
-/// roll-out may not move sessions, entries tell each other which of those that its share would move
-/// are on an old version.
+/// A caller's requests reach several entries: the load balancer distributes connections, and
+/// retries go to other entries. An entry that knew only its own requests would treat a session that
+/// another entry has just served on the old version as new, and move it in the middle of a
+/// conversation. While a roll-out may not move sessions, entries therefore report which of the
+/// sessions in its share are on an old version.
 class session_table {
 public:
-    /// Requests of a session belong together when one comes within `session_time` of another's end.
+    /// Requests of a session belong together if one arrives within `session_time` of the end of
+    /// another.
     explicit session_table(common::duration session_time) : time(session_time) {}
 
     auto note_sent(
@@ -42,17 +43,17 @@
         const common::version_id& version,
         time_point now) -> void;
 
-    /// A send of the session has ended.
+    /// Records the end of a send of the session.
     auto note_ended(const common::service_name& service, std::uint64_t session, time_point now)
         -> void;
 
-    /// The version on which this entry served the session, while it lasts.
+    /// Returns the version on which this entry served the session, if the session is still active.
     [[nodiscard]] auto
     version_of(const common::service_name& service, std::uint64_t session, time_point now) const
         -> std::optional<common::version_id>;
 
-    /// Sessions of the service that last and are neither on `target` nor left out by `is_meant`,
-    /// `most` of them at the most.
+    /// Returns at most `most` active sessions of the service that are not on `target` and that
+    /// `is_meant` selects.
     [[nodiscard]] auto on_other_versions(
         const common::service_name& service,
         const common::version_id& target,
@@ -60,30 +61,31 @@
         std::size_t most,
         time_point now) const -> std::vector<session_report>;
 
-    /// How many sessions of the service last on other versions than `target`.
+    /// Number of active sessions of the service on versions other than `target`.
     [[nodiscard]] auto count_on_other_versions(
         const common::service_name& service, const common::version_id& target, time_point now) const
         -> std::size_t;
 
-    /// A peer keeps these sessions on an old version.
-    auto hear(
+    /// Records sessions that a peer keeps on an old version.
+    auto apply_reports(
         const common::service_name& service,
-        const std::vector<session_report>& told,
+        const std::vector<session_report>& reports,
         time_point now) -> void;
 
     /// Whether a peer keeps the session on an old version.
-    [[nodiscard]] auto is_old_elsewhere(
-        const common::service_name& service, std::uint64_t session, time_point now) const -> bool;
+    [[nodiscard]] auto
+    is_old_at_peer(const common::service_name& service, std::uint64_t session, time_point now) const
+        -> bool;
 
 private:
     struct last_use {
         common::version_id version;
-        unsigned under_way = 0;
+        unsigned in_flight = 0;
         time_point until;
 
-        [[nodiscard]] auto lasts(time_point now) const -> bool
+        [[nodiscard]] auto is_active(time_point now) const -> bool
         {
-            return this->under_way > 0 || this->until > now;
+            return this->in_flight > 0 || this->until > now;
         }
     };
 
@@ -93,9 +95,9 @@
 
     common::duration time;
     std::map<session_key, last_use> sessions;
-    /// Until when a peer's session belongs to an old version.
-    std::map<session_key, time_point> elsewhere;
-    time_point swept{};
+    /// Until when a peer's session stays on an old version.
+    std::map<session_key, time_point> peer_sessions;
+    time_point swept_at{};
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/store_contact.cpp
+++ b/source/core/routing/store_contact.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Longer silences count as an outage. The list is read once a second, so that this is two missed
-/// readings; a registration outlasts it, as servers write each 1.2 s and lapse after three times
+/// Longer gaps count as an outage. The list is read once per second, so this is two missed
+/// readings. A registration outlasts it: servers register every 1.2 s, and lapse after three times
 /// that.
 constexpr std::chrono::milliseconds longest_gap{2200};
 
@@ -20,7 +20,7 @@
         this->answers.reset();
     }
     if (!this->answers) {
-        this->answers = run{since, at};
+        this->answers = answer_run{since, at};
         return;
     }
     this->answers->since = std::min(this->answers->since, since);
@@ -34,7 +34,7 @@
 
 auto store_contact::note_failure(time_point asked_at) -> void
 {
-    // An answer to somebody after this entry asked shows that the store is there.
+    // An answer to another entry after this one's query shows that the store is available.
     if (this->answers && this->answers->last > asked_at) {
         return;
     }
@@ -45,17 +45,17 @@
 auto store_contact::note_return(time_point now) -> void
 {
     this->has_seen_outage = true;
-    this->answers = run{now, now};
+    this->answers = answer_run{now, now};
 }
 
-auto store_contact::hear(time_point since, time_point answered_at, time_point now, bool is_news)
-    -> void
+auto store_contact::apply_report(
+    time_point since, time_point answered_at, time_point now, bool is_new) -> void
 {
-    // An old answer does not speak for the time after it.
+    // An old answer says nothing about the time after it.
     if (now - answered_at > longest_gap) {
         return;
     }
-    const bool is_later = is_news || !this->answers;
+    const bool is_later = is_new || !this->answers;
     const auto at = is_later ? answered_at : std::min(answered_at, this->answers->last);
     this->extend(std::min(since, at), at);
 }
--- a/source/core/routing/store_contact.hpp
+++ b/source/core/routing/store_contact.hpp
@@ -9,46 +9,48 @@
 
 using common::time_point;
 
-/// Since when the store has answered without a gap, as far as the entries know together.
+/// Tracks since when the store has answered without a gap, as far as the entries together know.
 ///
-/// An entry whose own readings fail can't tell by itself whether the store is away or its own way
-/// there is cut. Registrations lapse only in the first case of servers that work on, and are given
-/// time to come back; in the second, one that has ended means that its server left. Taken for an
-/// outage, a cut of one entry made it send work for two more seconds to servers that had left long
-/// before. What tells the cases apart is whether another entry was answered meanwhile.
+/// An entry whose own queries fail can't tell whether the store is down or its own connection is
+/// cut. Only in the first case do registrations of running servers lapse, and these servers are
+/// given time to register again; in the second, a registration that has ended means that the server
+/// left. Treated as an outage, a cut connection made an entry send requests for two more seconds to
+/// servers that had left long before. The cases differ in whether the store answered another entry
+/// in the meantime.
 class store_contact {
 public:
-    /// This entry's own reading was answered.
+    /// Records that this entry's own query was answered.
     auto note_answer(time_point now) -> void;
 
-    /// This entry's own reading, sent at `asked_at`, was not answered. Nothing that was known from
-    /// before says that the store is there.
+    /// Records that this entry's own query, sent at `asked_at`, was not answered. Earlier answers
+    /// no longer show that the store is available.
     auto note_failure(time_point asked_at) -> void;
 
-    /// The store has come back, after an outage that may have been too short for anybody to see.
+    /// Records that the store is back after an outage that may have been too short to be observed.
     auto note_return(time_point now) -> void;
 
-    /// Another entry was answered at `answered_at`, and knows of no gap since `since`. `is_news`
-    /// unless that answer is known already; told again, it is no later one.
-    auto hear(time_point since, time_point answered_at, time_point now, bool is_news) -> void;
+    /// Records that another entry was answered at `answered_at`, and knows of no gap since `since`.
+    /// `is_new` is false if that answer is already known: reported again, it is not a later one.
+    auto apply_report(time_point since, time_point answered_at, time_point now, bool is_new)
+        -> void;
 
-    /// Start of the time over which the store has answered up to its last known answer; `now` when
+    /// Start of the period over which the store has answered, up to its last known answer; `now` if
     /// nothing is known.
     [[nodiscard]] auto steady_since(time_point now) const -> time_point;
 
-    /// The same, where this process has seen an outage; else the earliest time, as nothing that it
-    /// has read can have lapsed in one.
+    /// As `steady_since` if this process has observed an outage; otherwise the earliest time, since
+    /// no registration that it has read can have lapsed during one.
     [[nodiscard]] auto outage_ended(time_point now) const -> time_point;
 
 private:
-    struct run {
+    struct answer_run {
         time_point since;
         time_point last;
     };
 
     auto extend(time_point since, time_point at) -> void;
 
-    std::optional<run> answers;
+    std::optional<answer_run> answers;
     bool has_seen_outage = false;
 };
 
--- a/source/core/routing/stream_position.hpp
+++ b/source/core/routing/stream_position.hpp
@@ -6,18 +6,18 @@
 
 namespace reedramp::routing {
 
-/// Position in one of the store's streams: the number of the first record not yet read, in one era
-/// of the store. Only the adapter makes positions from offsets.
+/// Position in one of the store's streams: the number of the first record not yet read, within one
+/// era of the store. Only the platform adapter creates positions from offsets.
 ///
-/// The store may come back from an older copy of itself: what was written since is gone, its era
-/// rises, and offsets are given out again to other records. So positions of two eras are ordered by
-/// era, and an offset alone says nothing. The era stands above the offset in one number, as entries
-/// tell each other positions: 16 million eras, and 10^12 records a stream.
+/// The store may be restored from an older copy: later writes are lost, its era increases, and
+/// offsets are assigned again to other records. Positions are therefore ordered by era first, and
+/// an offset alone is not comparable. Both are packed into one number, which entries send to each
+/// other, with the era in the upper bits: 16 million eras, and 10^12 records per stream.
 class stream_position {
 public:
     constexpr stream_position() = default;
 
-    /// As entries tell it.
+    /// From the number that entries send.
     constexpr explicit stream_position(std::uint64_t told) : number(told) {}
 
     static constexpr auto at(std::uint64_t era, std::uint64_t offset) -> stream_position
@@ -27,7 +27,7 @@
 
     [[nodiscard]] constexpr auto value() const -> std::uint64_t { return this->number; }
 
-    /// 0 of a store that says none.
+    /// 0 for a store that reports none.
     [[nodiscard]] constexpr auto era() const -> std::uint64_t
     {
         return this->number >> offset_bits;
--- a/source/core/routing/version_evidence.cpp
+++ b/source/core/routing/version_evidence.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// Old answers that a usual time remembers. About ten seconds of a route at one entry: what was
-/// usual before a burst says little of the answers in it.
-constexpr double usual_memory = 40.0;
-/// Old answers of which a usual time is known well enough to compare with.
-constexpr double least_usual = 5.0;
-/// Odds at which the guard would call a version good; not used, growth follows the schedule.
+/// Number of old answers that a baseline time averages over: about ten seconds of a route at one
+/// entry. Baselines from before a burst say little about the answers during it.
+constexpr double baseline_memory = 40.0;
+/// Old answers needed before a baseline time is used for comparison.
+constexpr double min_baseline = 5.0;
+/// Odds at which the regression detector would call a version good; unused here, since growth
+/// follows the schedule.
 constexpr double doubt = 0.05;
 
 auto index_of(timed_part part) -> std::size_t
@@ -40,7 +41,7 @@
 auto version_evidence::add(route_evidence& to, policy::signal what, version_side side, double value)
     -> void
 {
-    this->known_against.reset();
+    this->cached_sums.reset();
     if (side == version_side::new_one) {
         to.bets.add_candidate(what, value);
         return;
@@ -75,18 +76,18 @@
 {
     auto& one = this->at(route);
     if (part == timed_part::plain_answer) {
-        one.bets.set_slack(policy::signal::latency, this->settings.plain_pace_slack);
+        one.bets.set_slack(policy::signal::latency, this->settings.plain_latency_slack);
     }
-    const auto usual = this->usual_time(route, part);
-    if (usual.count >= least_usual) {
-        const auto slow = this->slowness(part, log_ms - usual.value);
-        // One that was given up early says nothing: its whole time is not known.
+    const auto baseline = this->baseline_time(route, part);
+    if (baseline.count >= min_baseline) {
+        const auto slow = this->slowness(part, log_ms - baseline.value);
+        // An answer abandoned early says nothing: its total time is unknown.
         if (bound == time_bound::seen || slow > 0.0) {
             this->add(one, policy::signal::latency, side, slow);
         }
     }
     if (side == version_side::old && bound == time_bound::seen) {
-        one.usual_times[index_of(part)].add(log_ms, usual_memory);
+        one.baseline_times[index_of(part)].add(log_ms, baseline_memory);
     }
 }
 
@@ -94,34 +95,34 @@
 {
     const auto& scale =
         part == timed_part::plain_answer ? this->settings.plain : this->settings.streams;
-    const double from = std::log(scale.usual_times);
-    const double to = std::log(scale.several_times);
+    const double from = std::log(scale.not_slow_factor);
+    const double to = std::log(scale.fully_slow_factor);
     return std::clamp((log_ratio - from) / (to - from), 0.0, 1.0);
 }
 
-auto version_evidence::usual_time(const route_name& route, timed_part part) const
+auto version_evidence::baseline_time(const route_name& route, timed_part part) const
     -> policy::sample_mean
 {
     policy::sample_mean sum;
     if (const auto own = this->routes.find(route); own != this->routes.end()) {
-        const auto& times = own->second.usual_times[index_of(part)];
+        const auto& times = own->second.baseline_times[index_of(part)];
         sum = {times.mean(), times.weight()};
     }
-    for (const auto& [peer, words] : this->peers) {
-        if (const auto found = words.find(route); found != words.end()) {
-            sum = policy::combined_mean(sum, found->second.usual_times[index_of(part)]);
+    for (const auto& [peer, reports] : this->peers) {
+        if (const auto found = reports.find(route); found != reports.end()) {
+            sum = policy::combined_mean(sum, found->second.baseline_times[index_of(part)]);
         }
     }
     return sum;
 }
 
-auto version_evidence::hear(
-    const common::host_id& peer, std::map<route_name, evidence_report> words) -> void
+auto version_evidence::apply_report(
+    const common::host_id& peer, std::map<route_name, evidence_report> reports) -> void
 {
-    this->known_against.reset();
+    this->cached_sums.reset();
     auto& known = this->peers[peer];
-    known = std::move(words);
-    for (const auto& [route, told] : known) {
+    known = std::move(reports);
+    for (const auto& [route, report] : known) {
         this->at(route);
         this->pool(route);
     }
@@ -133,8 +134,8 @@
     for (std::size_t i = 0; i < policy::signal_count; ++i) {
         const auto what = static_cast<policy::signal>(i);
         auto sum = bets.baseline_mean(what);
-        for (const auto& [peer, words] : this->peers) {
-            if (const auto found = words.find(route); found != words.end()) {
+        for (const auto& [peer, reports] : this->peers) {
+            if (const auto found = reports.find(route); found != reports.end()) {
                 sum = policy::combined_mean(sum, found->second.old_means[i]);
             }
         }
@@ -142,29 +143,30 @@
     }
 }
 
-auto version_evidence::tell() const -> std::map<route_name, evidence_report>
+auto version_evidence::make_report() const -> std::map<route_name, evidence_report>
 {
     std::map<route_name, evidence_report> all;
     for (const auto& [route, one] : this->routes) {
-        evidence_report told;
-        told.bets = one.bets.log_wealth();
+        evidence_report report;
+        report.bets = one.bets.log_wealth();
         for (std::size_t i = 0; i < policy::signal_count; ++i) {
-            told.old_means[i] = one.bets.baseline_mean(static_cast<policy::signal>(i));
+            report.old_means[i] = one.bets.baseline_mean(static_cast<policy::signal>(i));
         }
         for (std::size_t i = 0; i < timed_part_count; ++i) {
-            told.usual_times[i] = {one.usual_times[i].mean(), one.usual_times[i].weight()};
+            report.baseline_times[i] = {
+                one.baseline_times[i].mean(), one.baseline_times[i].weight()};
         }
-        all.emplace(route, std::move(told));
+        all.emplace(route, std::move(report));
     }
     return all;
 }
 
 auto version_evidence::log_against() const -> sums
 {
-    if (!this->known_against) {
-        this->known_against = this->sum_up();
+    if (!this->cached_sums) {
+        this->cached_sums = this->sum_up();
     }
-    return *this->known_against;
+    return *this->cached_sums;
 }
 
 auto version_evidence::sum_up() const -> sums
@@ -176,8 +178,8 @@
     };
     for (const auto& [route, one] : this->routes) {
         policy::wealth sum = one.bets.log_wealth();
-        for (const auto& [peer, words] : this->peers) {
-            if (const auto found = words.find(route); found != words.end()) {
+        for (const auto& [peer, reports] : this->peers) {
+            if (const auto found = reports.find(route); found != reports.end()) {
                 policy::add_wealth(sum, found->second.bets);
             }
         }
--- a/source/core/routing/version_evidence.hpp
+++ b/source/core/routing/version_evidence.hpp
@@ -13,23 +13,23 @@
 
 namespace reedramp::routing {
 
-/// Which side of a roll-out an answer came from.
+/// The side of a roll-out that an answer came from.
 enum class version_side : std::uint8_t { old, new_one };
 
-/// What is timed of an answer. Each has its own usual time, by route.
+/// The timed part of an answer. Each part has its own baseline time per route.
 enum class timed_part : std::uint8_t {
-    /// The mean pause between a stream's events, once it has had some.
+    /// The mean pause between a stream's events, if it had any.
     event_pause,
-    /// A whole stream that was too short to show its pace, from its sending.
+    /// A whole stream too short to show its speed, measured from the send.
     whole_answer,
-    /// A plain answer, from its sending.
+    /// A plain answer, measured from the send.
     plain_answer,
 };
 
 inline constexpr std::size_t timed_part_count = 3;
 
-/// Whether a time counts: `seen` for one that has passed, `at_least` where the answer was given up
-/// before its end, so that it would have taken longer.
+/// Whether a time is exact: `seen` if the part ended, `at_least` if the answer was abandoned before
+/// that and would have taken longer.
 enum class time_bound : std::uint8_t { seen, at_least };
 
 /// One observed time.
@@ -37,19 +37,19 @@
     timed_part part = timed_part::whole_answer;
     double took_ms = 0.0;
     time_bound bound = time_bound::seen;
-    /// Tokens of prompts that waited at the server meanwhile; see `load_effect`.
+    /// Prompt tokens that waited at the server in the meantime; see `load_effect`.
     double reading = 0.0;
 };
 
-/// What times the usual time count as slow.
+/// Scale for slowness, in multiples of the baseline time.
 struct slowness_scale {
-    /// An answer that takes up to this many times the old version's usual time is no slower than
-    /// others: servers of one service differ by a third.
-    double usual_times = 1.5;
-    /// From this many times on it is as slow as can be. Between them it counts in part, so that a
-    /// version three times as slow shows after some ten answers, where a threshold at three would
-    /// need twenty or more.
-    double several_times = 3.0;
+    /// Up to this multiple of the old version's time an answer is not slow: servers of one service
+    /// differ by a third.
+    double not_slow_factor = 1.5;
+    /// From this multiple on an answer counts as fully slow. In between it counts in part, so that
+    /// a version three times as slow shows after some ten answers, whereas a threshold at three
+    /// would need twenty or more.
+    double fully_slow_factor = 3.0;
 };
 
 struct evidence_options {
@@ -58,50 +58,50 @@
         .error_slack = 0.02,
         .slow_slack = 0.10,
         .latency_slack = 0.06,
-        // Nothing here is rated. Pace shows most of what is slow; a late first event says less,
-        // since prompts differ by tens.
+        // There are no ratings here. Latency shows most cases of slowness; a late first event says
+        // less, since prompts differ by factors of ten.
         .weights = {0.0, 0.35, 0.15, 0.5},
         .growth_slack = 0.05,
         .false_alarm = 0.005,
         .min_baseline_count = 10.0};
-    /// A first event is slow when it takes this many times the old version's mean.
+    /// A first event is slow if it takes this multiple of the old version's mean.
     double slow_factor = 3.0;
     slowness_scale streams{1.5, 3.0};
-    /// Plain answers have no pace to go by, and their own times differ by half: many of a good
-    /// version take 1.5 times the usual one. From twice on few do, so that less slack is needed.
+    /// Plain answers have no pauses, and their times vary by half: many answers of a good version
+    /// take 1.5 times the baseline. Few take twice as long, so less slack is needed.
     slowness_scale plain{2.0, 3.0};
-    double plain_pace_slack = 0.03;
+    double plain_latency_slack = 0.03;
 };
 
-/// What one process has seen of one route, for its peers.
+/// One process's evidence for one route, sent to its peers.
 struct evidence_report {
     policy::wealth bets;
-    /// The old version's means by signal, and the logarithms of its usual times in ms.
+    /// The old version's means by signal, and the logarithms of its baseline times in ms.
     std::array<policy::sample_mean, policy::signal_count> old_means{};
-    std::array<policy::sample_mean, timed_part_count> usual_times{};
+    std::array<policy::sample_mean, timed_part_count> baseline_times{};
 
     auto operator==(const evidence_report&) const -> bool = default;
 };
 
-/// Whether a new version is worse than the old one, by route and over all, from what all entries
-/// have seen.
+/// Decides whether a new version is worse than the old one, per route and overall, from the
+/// evidence of all entries.
 ///
 /// Entries add up their bets. They also pool what they know of the old version: one of many entries
-/// sees a route's old version ten times only after several seconds, and bets on nothing before.
+/// has ten answers of a route's old version only after several seconds, and can't bet before.
 class version_evidence {
 public:
     explicit version_evidence(evidence_options options) : settings(options) {}
 
     auto add_outcome(const route_name& route, version_side side, bool is_good) -> void;
 
-    /// A stream's first event came after `took`, or, if `is_stalled`, not in good time.
+    /// Adds a stream's first event, which took `took` or, if `is_stalled`, did not arrive in time.
     auto add_first_event(
         const route_name& route,
         version_side side,
         std::chrono::milliseconds took,
         bool is_stalled = false) -> void;
 
-    /// `log_ms` is the time's logarithm, with the effect of load taken out.
+    /// `log_ms` is the logarithm of the time in ms, with the effect of load removed.
     auto add_time(
         const route_name& route,
         version_side side,
@@ -109,16 +109,18 @@
         double log_ms,
         time_bound bound = time_bound::seen) -> void;
 
-    /// A peer's words replace its older ones.
-    auto hear(const common::host_id& peer, std::map<route_name, evidence_report> words) -> void;
+    /// Replaces a peer's earlier report.
+    auto apply_report(const common::host_id& peer, std::map<route_name, evidence_report> reports)
+        -> void;
 
-    [[nodiscard]] auto tell() const -> std::map<route_name, evidence_report>;
+    [[nodiscard]] auto make_report() const -> std::map<route_name, evidence_report>;
 
-    /// Logarithms of the wealth against the new version.
+    /// Logarithms of the evidence (wealth of the bets) against the new version.
     struct sums {
-        /// Of all routes together. Falls below zero as answers come that are no worse.
+        /// For all routes together. Falls below zero as answers arrive that are no worse.
         double overall = 0.0;
-        /// The strongest, of one route or of all: one route may be the only one on which it is bad.
+        /// The maximum over the single routes and all of them together: the new version may be bad
+        /// on one route only.
         double strongest = 0.0;
     };
 
@@ -129,8 +131,8 @@
 private:
     struct route_evidence {
         policy::regression_evidence bets;
-        std::array<policy::exponential_mean, timed_part_count> usual_times;
-        /// Mean time to the old version's first event, in ms; 0 before the first.
+        std::array<policy::exponential_mean, timed_part_count> baseline_times;
+        /// Mean time to the old version's first event, in ms; 0 before the first one.
         double old_first_event_ms = 0.0;
     };
 
@@ -138,16 +140,16 @@
     auto add(route_evidence& to, policy::signal what, version_side side, double value) -> void;
     auto pool(const route_name& route) -> void;
     [[nodiscard]] auto sum_up() const -> sums;
-    [[nodiscard]] auto usual_time(const route_name& route, timed_part part) const
+    [[nodiscard]] auto baseline_time(const route_name& route, timed_part part) const
         -> policy::sample_mean;
-    /// 0 up to the usual time, 1 from several times on.
+    /// Slowness from 0 to 1 on the part's `slowness_scale`.
     [[nodiscard]] auto slowness(timed_part part, double log_ratio) const -> double;
 
     evidence_options settings;
     std::map<route_name, route_evidence> routes;
     std::map<common::host_id, std::map<route_name, evidence_report>> peers;
-    /// `log_against` since the last change: each request asks for it.
-    mutable std::optional<sums> known_against;
+    /// Result of `log_against` until the next change: it is needed for each request.
+    mutable std::optional<sums> cached_sums;
 };
 
 } // namespace reedramp::routing
--- a/source/core/routing/version_rule.hpp
+++ b/source/core/routing/version_rule.hpp
@@ -10,16 +10,17 @@
 
 namespace reedramp::routing {
 
-/// Which versions a request may run on.
+/// The versions on which a request may be executed.
 struct version_rule {
-    /// Only this one, if it has servers.
+    /// Only this version, if it has servers.
     std::optional<common::version_id> preferred;
-    /// Never these.
+    /// Never on these versions.
     std::set<common::version_id> barred;
-    /// The part of the preferred version's servers that share its work; see `keep_canaries`.
+    /// Fraction of the preferred version's servers over which requests are spread; see
+    /// `keep_canaries`.
     double spread = 1.0;
 
-    /// As while no roll-out runs.
+    /// Whether there is no restriction, as while no roll-out runs.
     [[nodiscard]] auto allows_all() const -> bool
     {
         return !this->preferred && this->barred.empty();
@@ -31,16 +32,16 @@
     }
 };
 
-/// Leaves the servers that the rule allows. Those of the preferred version, if there are any.
+/// Keeps the servers that the rule allows: only those of the preferred version if there are any.
 auto keep_allowed(std::vector<const registration*>& usable, const version_rule& rule) -> void;
 
-/// Leaves `spread` of the servers, at least one, the same in all entries; of those that
-/// `is_out` names none, unless it names all.
+/// Keeps the fraction `spread` of the servers, at least one, the same at all entries. Servers for
+/// which `is_out` returns true are left out, unless it does for all.
 ///
-/// A new version's first share on all of its servers leaves each all but idle: it answers three
-/// times as fast as the old one under its load, so that a version three times as slow looks alike.
-/// On its part of the servers it is compared at the
-/// load that the old one has.
+/// With its first share spread over all of its servers, a new version's servers are nearly idle and
+/// answer three times as fast as the old version under its load, so that a version three times as
+/// slow looks equal. On a fraction of its servers the new version is compared under the same load
+/// as the old one.
 auto keep_canaries(
     std::vector<const registration*>& usable,
     double spread,
--- a/source/router/peer_group.cpp
+++ b/source/router/peer_group.cpp
@@ -111,14 +111,14 @@
     words.address = http::to_string(this->own_address);
     words.place = this->place;
     words.rules_version = this->core->rules_version();
-    words.loads = this->core->loads.tell();
-    words.rollouts = this->core->rollouts.tell(now);
-    words.freshness = this->core->freshness.tell(now);
-    words.outcomes = this->core->health.tell(now);
+    words.loads = this->core->loads.make_reports();
+    words.rollouts = this->core->rollouts.make_reports(now);
+    words.freshness = this->core->freshness.make_report(now);
+    words.outcomes = this->core->health.make_reports(now);
     words.leaving = this->core->servers.leaving();
     words.ended = this->core->servers.ended(now);
-    words.evacuations = this->core->evacuations.tell();
-    words.limits = this->core->intake.limits().tell(now);
+    words.evacuations = this->core->evacuations.make_report();
+    words.limits = this->core->intake.limits().make_reports(now);
     if (this->core->leaves_at() != common::never) {
         words.ends_in =
             std::chrono::duration_cast<std::chrono::milliseconds>(this->core->leaves_at() - now);
@@ -179,7 +179,7 @@
 {
     return {
         this->core->rules_version(),
-        this->core->rollouts.orders_taken(),
+        this->core->rollouts.orders_applied(),
         this->core->evacuations_changed(),
         this->core->words_of_servers()};
 }
@@ -252,10 +252,10 @@
     this->hear_of_servers(*words, now);
     this->core->hear_limits(words->limits, words->host.value());
     const auto trusted_until = now + this->round() * trusted_rounds;
-    this->core->loads.hear(words->host, words->loads, trusted_until);
-    this->core->freshness.hear(words->freshness, now);
-    this->core->health.hear(words->host, words->outcomes, trusted_until, now);
-    this->core->rollouts.hear(process_name(*words), words->rollouts, now);
+    this->core->loads.apply_reports(words->host, words->loads, trusted_until);
+    this->core->freshness.apply_report(words->freshness, now);
+    this->core->health.apply_reports(words->host, words->outcomes, trusted_until, now);
+    this->core->rollouts.apply_reports(process_name(*words), words->rollouts, now);
     if (words->rules_version > this->core->rules_version()) {
         this->on_newer_rules(*from);
     }
@@ -377,11 +377,11 @@
             std::string{what} + " server=" + to_string(server) + " told_by=" + words.host.value());
     };
     auto& servers = this->core->servers;
-    for (const auto& server : servers.retire_named(words.leaving, now)) {
+    for (const auto& server : servers.mark_leaving_by_hash(words.leaving, now)) {
         log("server leaving", server);
     }
     for (const auto& server :
-         servers.end_named(words.ended, this->core->freshness.read_to(), now)) {
+         servers.end_by_hash(words.ended, this->core->freshness.read_to(), now)) {
         log("server gone", server);
     }
 }
--- a/source/router/settings.cpp
+++ b/source/router/settings.cpp
@@ -58,13 +58,13 @@
          .type = settings::value_type::real,
          .doc = "Callers' mean wait for a first event, as a part of its target, from where on less "
                 "confidence is asked for.",
-         .fallback = routing::model_options{}.short_from,
+         .fallback = routing::model_options{}.scarcity_from,
          .lowest = 0.0,
          .highest = 10.0},
         {.path = "models.short_to",
          .type = settings::value_type::real,
          .doc = "The same, from where on any confidence is enough; above models.short_from.",
-         .fallback = routing::model_options{}.short_to,
+         .fallback = routing::model_options{}.scarcity_to,
          .lowest = 0.01,
          .highest = 10.0},
         {.path = "rollouts.exposure",
@@ -132,8 +132,8 @@
     read.peer_period = values.milliseconds("peers.period");
     read.router.freshness.period = values.milliseconds("store.servers_period");
     // One lost datagram, and the answer to a question.
-    constexpr std::chrono::milliseconds hand_on_time{300};
-    read.router.freshness.hand_on_time = hand_on_time;
+    constexpr std::chrono::milliseconds forward_wait{300};
+    read.router.freshness.forward_wait = forward_wait;
     read.router.data_centre = read.data_centre;
     for (const auto& [data_centre, region] : values.map("regions")) {
         read.router.regions[common::data_centre_id{data_centre}] = common::region_id{region};
@@ -153,9 +153,9 @@
         static_cast<unsigned>(values.integer("models.accepted_confidence"));
     read.router.choice.affinity_patience = values.real("placement.affinity_patience");
     read.router.choice.distance_work = values.real("placement.distance_work");
-    read.router.models.short_from = values.real("models.short_from");
-    read.router.models.short_to = values.real("models.short_to");
-    if (read.router.models.short_to <= read.router.models.short_from) {
+    read.router.models.scarcity_from = values.real("models.short_from");
+    read.router.models.scarcity_to = values.real("models.short_to");
+    if (read.router.models.scarcity_to <= read.router.models.scarcity_from) {
         return common::failure(
             common::result_code::invalid_settings, "models.short_to is not above short_from");
     }
--- a/source/router/state_page.cpp
+++ b/source/router/state_page.cpp
@@ -14,14 +14,14 @@
     const router::router_core& core, const routing::registration& server, common::time_point now)
     -> json::object
 {
-    const auto start = server.start();
+    const auto start = server.instance();
     const auto load = core.loads.total(start, now);
     const auto paces = core.paces.find(server.service);
     const auto limit = core.intake.limits().per_second(start);
-    const auto rest = std::max<common::duration>(core.intake.rests_until(server) - now, {});
+    const auto rest = std::max<common::duration>(core.intake.backoff_until(server) - now, {});
     return {
         {"id", server.id.value()},
-        {"started_unix_ms", server.born.value()},
+        {"started_unix_ms", server.started_at.value()},
         {"state", std::string{to_string(*core.servers.state_of(server.id))}},
         {"service", server.service.value()},
         {"version", server.version.value()},
@@ -30,7 +30,7 @@
         {"work", load.work},
         {"slowness", paces == core.paces.end() ? 1.0 : paces->second.slowness(start)},
         {"failures", core.health.failures(start)},
-        {"resting", core.health.is_resting(start, now)},
+        {"resting", core.health.is_ejected(start, now)},
         {"cold", server.is_cold(now)},
         {"asks_rest_ms", std::chrono::duration_cast<std::chrono::milliseconds>(rest).count()},
         {"takes_per_second", limit ? json::value(*limit) : json::value(nullptr)}};
@@ -57,7 +57,7 @@
     for (const auto& reader : peers.readers()) {
         readers.emplace_back(reader.value());
     }
-    const auto told = core.freshness.tell(now);
+    const auto told = core.freshness.make_report(now);
     return {
         {"read_to", core.freshness.read_to()},
         {"age_ms", told.age.count()},
--- a/source/unit_tests/most_within.hpp
+++ b/source/unit_tests/max_count_within.hpp
@@ -8,8 +8,9 @@
 
 namespace reedramp::testing {
 
-/// The most of these moments, which are in their order, within any such time.
-inline auto most_within(const std::vector<common::time_point>& moments, common::duration window)
+/// Returns the maximum number of `moments` within any `window`. `moments` must be in order.
+inline auto
+max_count_within(const std::vector<common::time_point>& moments, common::duration window)
     -> std::size_t
 {
     std::size_t most = 0;
--- a/source/unit_tests/router/answer_play.cpp
+++ b/source/unit_tests/router/answer_play.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "../most_within.hpp"
+#include "../max_count_within.hpp"
 
 namespace reedramp::router::testing {
 
@@ -105,7 +105,7 @@
     });
 }
 
-auto answer_play::most_within(
+auto answer_play::max_count_within(
     const std::string& server,
     milliseconds window,
     common::time_point from,
@@ -117,7 +117,7 @@
             times.push_back(one.at);
         }
     }
-    return reedramp::testing::most_within(times, window);
+    return reedramp::testing::max_count_within(times, window);
 }
 
 auto answer_play::arrivals_at(const std::string& server, common::time_point from) const
--- a/source/unit_tests/router/answer_play.hpp
+++ b/source/unit_tests/router/answer_play.hpp
@@ -63,7 +63,7 @@
 
     /// The most requests in any `window` that came to the server after `from`, of those that
     /// `counts`.
-    [[nodiscard]] auto most_within(
+    [[nodiscard]] auto max_count_within(
         const std::string& server,
         milliseconds window,
         common::time_point from,
--- a/source/unit_tests/router/barred_records_test.cpp
+++ b/source/unit_tests/router/barred_records_test.cpp
@@ -27,8 +27,8 @@
                 done(stream_position{1});
             }
         };
-        store.drop_barred = [this](routing::request_fingerprint print, auto done) {
-            this->dropped.push_back(print);
+        store.drop_barred = [this](routing::request_fingerprint fingerprint, auto done) {
+            this->dropped.push_back(fingerprint);
             done(stream_position{1});
         };
         this->records = std::make_shared<barred_records>(
@@ -37,7 +37,7 @@
 
     auto bar(std::chrono::milliseconds age, bool is_recorded = false) -> void
     {
-        this->one.core->crashes.hear_barred({ending, age, age, is_recorded}, this->one.now);
+        this->one.core->crashes.apply_barred({ending, age, age, is_recorded}, this->one.now);
     }
 
     auto run(milliseconds time) -> void
@@ -107,9 +107,9 @@
     for (auto* each : {&first, &second}) {
         each->records->take({fresh, old});
         CHECK(each->one.core->crashes.is_barred(ending));
-        CHECK(!each->one.core->crashes.is_barred(old.print));
+        CHECK(!each->one.core->crashes.is_barred(old.fingerprint));
     }
-    CHECK(first.dropped == std::vector{old.print});
+    CHECK(first.dropped == std::vector{old.fingerprint});
     CHECK(second.dropped.empty());
     // A copy that was under way is served: the request is let in, also when the record is read
     // again.
--- a/source/unit_tests/router/cold_test.cpp
+++ b/source/unit_tests/router/cold_test.cpp
@@ -45,7 +45,7 @@
     {
         auto server = *this->core->servers.find(common::server_id{id});
         server.cold_until = this->now + time;
-        this->core->servers.take(server, this->now);
+        this->core->servers.apply_registration(server, this->now);
     }
 };
 
--- a/source/unit_tests/router/crash_play.cpp
+++ b/source/unit_tests/router/crash_play.cpp
@@ -51,8 +51,9 @@
 auto crash_play::start_server(const std::string& id) -> void
 {
     this->alive.insert(id);
-    const auto born = this->shape.returns_under_id ? this->now().time_since_epoch().count() : 0;
-    this->fleet.write(id, false, static_cast<std::uint64_t>(born));
+    const auto started_at =
+        this->shape.returns_under_id ? this->now().time_since_epoch().count() : 0;
+    this->fleet.write(id, false, static_cast<std::uint64_t>(started_at));
 }
 
 auto crash_play::ask(std::size_t entry, const std::string& body, const asked_by& how)
@@ -193,8 +194,9 @@
 {
     for (const auto& [body, ends] : this->ends_of) {
         const bool is_known = std::ranges::all_of(this->fleet.entries, [&body](const auto& one) {
-            const auto print = routing::print_of({"org", "POST", "h", "/stream/1", body});
-            return one->is_dead || one->is_frozen || one->own.core->crashes.is_barred(print);
+            const auto fingerprint =
+                routing::fingerprint_of({"org", "POST", "h", "/stream/1", body});
+            return one->is_dead || one->is_frozen || one->own.core->crashes.is_barred(fingerprint);
         });
         if (is_known) {
             this->known_at.try_emplace(body, this->now());
--- a/source/unit_tests/router/entry_fleet.cpp
+++ b/source/unit_tests/router/entry_fleet.cpp
@@ -48,7 +48,7 @@
     one.own.core->options.data_centre =
         common::data_centre_id{"dc-" + std::to_string(one.data_centre)};
     if (this->shape.hands_on) {
-        one.own.core->options.freshness.hand_on_time = milliseconds{300};
+        one.own.core->options.freshness.forward_wait = milliseconds{300};
     }
     one.own.core->options.freshness.reader = number + 1;
     one.own.core->freshness = routing::list_freshness{one.own.core->options.freshness};
@@ -125,7 +125,7 @@
     constexpr std::uint64_t clocks_differ_ms = 100;
     const auto ahead = milliseconds{this->random() % clocks_differ_ms};
     routing::send_slot_hooks hooks;
-    hooks.place = [&one] {
+    hooks.rank = [&one] {
         return one.peers->place_among_all();
     };
     hooks.unix_ms = [&one, ahead] {
@@ -163,7 +163,7 @@
     stream_reading<rules_document> reading{{}, end, is_first};
     if (is_first) {
         routing::evacuation_registry newest;
-        newest.follow(this->orders, end);
+        newest.apply_orders(this->orders, end);
         for (const auto& data_centre : newest.evacuated()) {
             reading.documents.emplace_back(routing::evacuation_order{data_centre, true, {}});
         }
@@ -320,7 +320,8 @@
     return whole;
 }
 
-auto entry_fleet::write(const std::string& server, bool is_leaving, std::uint64_t born) -> void
+auto entry_fleet::write(const std::string& server, bool is_leaving, std::uint64_t started_at)
+    -> void
 {
     routing::registration one;
     one.id = common::server_id{server};
@@ -329,7 +330,7 @@
     one.data_centre = common::data_centre_id{"dc-0"};
     one.version = common::version_id{"v1"};
     one.is_leaving = is_leaving;
-    one.born = routing::start_time{born};
+    one.started_at = routing::start_time{started_at};
     this->log.push_back({one.id, one});
 }
 
--- a/source/unit_tests/router/entry_fleet.hpp
+++ b/source/unit_tests/router/entry_fleet.hpp
@@ -57,7 +57,8 @@
     auto start_anew(std::size_t number) -> void;
 
     /// A server registers, says that it leaves, or its registration ends.
-    auto write(const std::string& server, bool is_leaving = false, std::uint64_t born = 0) -> void;
+    auto write(const std::string& server, bool is_leaving = false, std::uint64_t started_at = 0)
+        -> void;
     auto remove(const std::string& server) -> void;
 
     /// The store comes back without its newest `records`, which are given out again.
--- a/source/unit_tests/router/evacuation_test.cpp
+++ b/source/unit_tests/router/evacuation_test.cpp
@@ -204,7 +204,7 @@
     // A record that the server wrote before it was taken back says that it is warm.
     auto read = *servers.find(common::server_id{"a"});
     read.cold_until = {};
-    all.core->servers.take(read, all.now);
+    all.core->servers.apply_registration(read, all.now);
     CHECK(is_cold("a"));
     all.advance(milliseconds{3600});
     CHECK_FALSE(is_cold("a"));
--- a/source/unit_tests/router/followers_test.cpp
+++ b/source/unit_tests/router/followers_test.cpp
@@ -203,7 +203,7 @@
     const auto pass = [&all](milliseconds time) {
         for (milliseconds passed{0}; passed < time; passed += milliseconds{100}) {
             // Another entry read the list up to here 50 ms ago.
-            all.core->freshness.hear({3, milliseconds{50}}, all.now);
+            all.core->freshness.apply_report({3, milliseconds{50}}, all.now);
             all.advance(milliseconds{100});
         }
     };
@@ -239,10 +239,10 @@
     all.advance(milliseconds{500});
     CHECK(all.core->servers.find(common::server_id{"b"}) != nullptr);
     // What a peer was told before the cut, and has not read since, says nothing.
-    all.core->freshness.hear({3, seconds{4}, seconds{60}}, all.now);
+    all.core->freshness.apply_report({3, seconds{4}, seconds{60}}, all.now);
     all.advance(milliseconds{100});
     CHECK(all.core->servers.find(common::server_id{"b"}) != nullptr);
-    all.core->freshness.hear({3, milliseconds{300}, seconds{60}}, all.now);
+    all.core->freshness.apply_report({3, milliseconds{300}, seconds{60}}, all.now);
     all.advance(milliseconds{100});
     CHECK(all.core->servers.find(common::server_id{"b"}) == nullptr);
 }
@@ -255,11 +255,11 @@
     held_store store;
     using change = routing::registration_change;
     follow_servers(all, store, {"a"});
-    all.core->freshness.hear({1, milliseconds{0}, seconds{60}}, all.now);
+    all.core->freshness.apply_report({1, milliseconds{0}, seconds{60}}, all.now);
     const auto read_by_peers = all.now;
     const auto peers_tell = [&all, read_by_peers] {
         const auto age = std::chrono::duration_cast<milliseconds>(all.now - read_by_peers);
-        all.core->freshness.hear({1, age, seconds{60}}, all.now);
+        all.core->freshness.apply_report({1, age, seconds{60}}, all.now);
     };
     for (milliseconds passed{0}; passed < seconds{5}; passed += milliseconds{100}) {
         peers_tell();
@@ -272,7 +272,7 @@
     held_store::take(store.servers)
         .second(reading<change>({{common::server_id{"a"}, std::nullopt}}, 2, false));
     // A peer has the store back as well; its run begins with that.
-    all.core->freshness.hear({2, milliseconds{50}, milliseconds{0}}, all.now);
+    all.core->freshness.apply_report({2, milliseconds{50}, milliseconds{0}}, all.now);
     all.advance(milliseconds{1500});
     CHECK(all.core->servers.find(common::server_id{"a"}) != nullptr);
     all.advance(seconds{1});
@@ -323,9 +323,9 @@
         return std::uint64_t{1'790'000'000'000};
     };
     follow_servers(all, store, {"a", "b"});
-    const auto started = [](const std::string& id, std::uint64_t born) {
+    const auto started = [](const std::string& id, std::uint64_t started_at) {
         auto one = registration_of(id);
-        one.now->born = routing::start_time{born};
+        one.now->started_at = routing::start_time{started_at};
         return one;
     };
     all.advance(milliseconds{1100});
@@ -343,10 +343,10 @@
         INFO(text);
         CHECK(text.find(std::string{"what=\""} + what + "\"") != std::string::npos);
     }
-    CHECK(all.core->servers.find(common::server_id{"a"})->born.value() == 1'789'000'000'000);
+    CHECK(all.core->servers.find(common::server_id{"a"})->started_at.value() == 1'789'000'000'000);
     CHECK(all.core->servers.find(common::server_id{"b"}) == nullptr);
-    CHECK(all.core->servers.find(common::server_id{"d"})->is_born_ahead);
-    CHECK_FALSE(all.core->servers.find(common::server_id{"e"})->is_born_ahead);
+    CHECK(all.core->servers.find(common::server_id{"d"})->starts_in_future);
+    CHECK_FALSE(all.core->servers.find(common::server_id{"e"})->starts_in_future);
     // The position moves on over the bad record.
     all.advance(milliseconds{1100});
     CHECK(held_store::take(store.servers).first == stream_position{7});
--- a/source/unit_tests/router/hand_on_test.cpp
+++ b/source/unit_tests/router/hand_on_test.cpp
@@ -122,7 +122,7 @@
     reader.is_frozen = false;
     fleet.run(milliseconds{10});
     reader.list->take_reading(old, asked_at);
-    const auto told = reader.own.core->freshness.tell(reader.own.now);
+    const auto told = reader.own.core->freshness.make_report(reader.own.now);
     CHECK(told.age >= milliseconds{500});
     fleet.write("a", true);
     CHECK(fleet.time_until_unused("a", drain_time) <= usual_time);
@@ -276,7 +276,7 @@
     fleet.run(settled);
     auto lie = news_from(fleet, 0);
     lie.part.end += 1'000'000;
-    lie.freshness = fleet.entries[0]->own.core->freshness.tell(fleet.entries[0]->own.now);
+    lie.freshness = fleet.entries[0]->own.core->freshness.make_report(fleet.entries[0]->own.now);
     for (const std::size_t to : {3, 4, 5, 6}) {
         fleet.deliver(to, encode_datagram(lie));
     }
@@ -291,7 +291,7 @@
     // of life change nothing at the readers, so that nobody tells it that the server is there.
     entry_fleet fleet{{.entries = 26, .data_centres = 3}};
     fleet.run(settled);
-    fleet.entries[20]->own.core->servers.drop(common::server_id{"b"});
+    fleet.entries[20]->own.core->servers.remove_replaced(common::server_id{"b"});
     CHECK(fleet.using_server("b") == 25);
     fleet.run(seconds{6});
     CHECK(fleet.using_server("b") == 26);
@@ -350,7 +350,7 @@
         change.now->address = "10.3.64." + std::to_string(i % 250) + ":8266";
         change.now->data_centre = common::data_centre_id{"dc-" + std::to_string(i % 6)};
         change.now->version = common::version_id{"v2"};
-        change.now->born = routing::start_time{1'790'000'000'000ULL + i};
+        change.now->started_at = routing::start_time{1'790'000'000'000ULL + i};
         news.part.changes.push_back(std::move(change));
     }
     std::cout << "METRIC list_answer_620_servers " << encode_answer(news).size() << " bytes\n";
--- a/source/unit_tests/router/held_store.hpp
+++ b/source/unit_tests/router/held_store.hpp
@@ -115,7 +115,7 @@
 inline auto writer_of(world& all, held_store& store, std::size_t rank)
     -> std::shared_ptr<rollout_writer>
 {
-    all.core->rollouts.order({engines, target, seconds{20}}, all.now);
+    all.core->rollouts.apply_order({engines, target, seconds{20}}, all.now);
     return std::make_shared<rollout_writer>(all.core, store.hooks(), [rank] { return rank; });
 }
 
--- a/source/unit_tests/router/homes_test.cpp
+++ b/source/unit_tests/router/homes_test.cpp
@@ -13,7 +13,7 @@
     const auto place = [&all](const char* id, const char* data_centre) {
         auto server = *all.core->servers.find(common::server_id{id});
         server.data_centre = common::data_centre_id{data_centre};
-        all.core->servers.take(server, all.now);
+        all.core->servers.apply_registration(server, all.now);
     };
     place("a", "north-1");
     place("b", "south-1");
--- a/source/unit_tests/router/new_era_test.cpp
+++ b/source/unit_tests/router/new_era_test.cpp
@@ -47,10 +47,11 @@
     all.core->note_era(stream_position::at(1, 0), "store");
     freshness.note_read(stream_position::at(1, 4).value(), true, all.now);
     const auto ended = freshness.outage_ended(all.now);
-    freshness.hear({stream_position{900}.value(), milliseconds{10}, seconds{100}, 7, 1}, all.now);
+    freshness.apply_report(
+        {stream_position{900}.value(), milliseconds{10}, seconds{100}, 7, 1}, all.now);
     CHECK(!freshness.lacks_change());
     CHECK(freshness.outage_ended(all.now) == ended);
-    freshness.hear(
+    freshness.apply_report(
         {stream_position::at(1, 9).value(), milliseconds{10}, milliseconds{5}, 8, 1}, all.now);
     CHECK(freshness.lacks_change());
     // An era that has passed does not come again.
@@ -67,7 +68,7 @@
     world all;
     held_store store;
     const auto writer = writer_of(all, store, 0);
-    all.core->rollouts.learn({engines, target, routing::rollout_state::reverted});
+    all.core->rollouts.apply_status({engines, target, routing::rollout_state::reverted});
     writer->tick();
     CHECK(store.outcomes.empty());
     all.core->note_era(stream_position::at(0, 5), "store");
@@ -95,7 +96,7 @@
     const auto target_of = [&all] {
         return all.core->rollouts.states(all.now).front().status.target.value();
     };
-    all.core->rollouts.order(second, all.now);
+    all.core->rollouts.apply_order(second, all.now);
     const auto read = [&](std::vector<rules_document> documents, stream_position end, bool whole) {
         stream_reading<rules_document> one{std::move(documents), end, whole};
         held_store::take(store.rules).second(std::move(one));
--- a/source/unit_tests/router/peer_group_test.cpp
+++ b/source/unit_tests/router/peer_group_test.cpp
@@ -70,7 +70,7 @@
     two.group.add(address_of(3));
     two.group.add(address_of(1));
     there.core->adopt(rules_of(9));
-    there.core->servers.retire(common::server_id{"b"});
+    there.core->servers.mark_leaving(common::server_id{"b"});
     two.group.tell();
     REQUIRE(two.sent.size() == 2);
     one.group.hear(two.sent.front().second);
@@ -102,7 +102,7 @@
     two.group.add(address_of(1));
     there.core->freshness.note_read(9, true, there.now);
     there.core->servers.lapse(common::server_id{"b"});
-    there.core->servers.end_lapsed(9, there.now);
+    there.core->servers.remove_lapsed(9, there.now);
     here.core->freshness.note_read(5, true, here.now);
     two.group.tell();
     one.group.hear(two.sent.front().second);
@@ -129,13 +129,13 @@
         one.group.add(address_of(number));
     }
     one.sent.clear();
-    all.core->rollouts.order(
+    all.core->rollouts.apply_order(
         {common::service_name{"engines"}, common::version_id{"v2"}, seconds{20}}, all.now);
     one.group.spread_news();
     REQUIRE(one.sent.size() == 1);
     CHECK(one.sent.front().first == address_of(2));
     neighbour.group.hear(one.sent.front().second);
-    CHECK(near.core->rollouts.orders_taken() == 1);
+    CHECK(near.core->rollouts.orders_applied() == 1);
     // It is said once; what it is about is then told to all.
     one.sent.clear();
     one.group.spread_news();
@@ -164,7 +164,7 @@
     const routing::route_name route{"again"};
     world here;
     told_entry one{here, 1};
-    here.core->rollouts.order({engines, bad, seconds{20}}, here.now);
+    here.core->rollouts.apply_order({engines, bad, seconds{20}}, here.now);
     const auto is_barred = [&] {
         return here.core->rollouts.rule_for(engines, 0, here.now).bars(bad);
     };
@@ -178,7 +178,7 @@
         };
         told_entry two{there, 2};
         two.group.add(address_of(1));
-        there.core->rollouts.order({engines, bad, seconds{20}}, there.now);
+        there.core->rollouts.apply_order({engines, bad, seconds{20}}, there.now);
         for (int i = 0; i < 60; ++i) {
             there.core->rollouts.note_outcome(engines, common::version_id{"v1"}, route, true);
         }
--- a/source/unit_tests/router/peer_message_test.cpp
+++ b/source/unit_tests/router/peer_message_test.cpp
@@ -153,7 +153,7 @@
         CHECK(!decode_crash_news(bytes.substr(0, bytes.size() / 2)));
     }
     REQUIRE(read.lost.size() == 100);
-    CHECK(read.lost.back().print == routing::request_fingerprint{100});
+    CHECK(read.lost.back().fingerprint == routing::request_fingerprint{100});
     CHECK(read.lost.back().server == 300);
     CHECK(read.lost.back().age == std::chrono::milliseconds{100});
     CHECK(read.lost.back().sent_age == std::chrono::milliseconds{200});
@@ -181,13 +181,13 @@
         routing::registration left;
         left.id = common::server_id{"left-" + std::to_string(i)};
         left.is_leaving = true;
-        table.take(left, now);
+        table.apply_registration(left, now);
         routing::registration ended;
         ended.id = common::server_id{"ended-" + std::to_string(i)};
-        table.take(ended, now);
+        table.apply_registration(ended, now);
         table.lapse(ended.id);
     }
-    table.end_lapsed(9, now);
+    table.remove_lapsed(9, now);
     auto busy = calm;
     busy.leaving = table.leaving();
     busy.ended = table.ended(now);
--- a/source/unit_tests/router/relay_test.cpp
+++ b/source/unit_tests/router/relay_test.cpp
@@ -164,7 +164,7 @@
     // comes next as "not executed". That is true of the second send alone: the first may have run.
     world all;
     for (const auto* id : {"b", "c"}) {
-        all.core->servers.retire(common::server_id{id});
+        all.core->servers.mark_leaving(common::server_id{id});
     }
     const auto restart = [&all] {
         all.add_server("a", "v1", 1000 + all.sends());
@@ -432,7 +432,7 @@
     CHECK(all.last().is_cancelled);
     all.advance(seconds{20});
     CHECK(all.sends() == 1);
-    CHECK(all.core->loads.tell().empty());
+    CHECK(all.core->loads.make_reports().empty());
 }
 
 TEST_CASE("at the time limit there is a final answer at once", "[relay]")
@@ -480,12 +480,13 @@
 {
     world all;
     for (const auto* id : {"a", "b", "c"}) {
-        all.core->servers.retire(common::server_id{id});
+        all.core->servers.mark_leaving(common::server_id{id});
     }
     all.add_server("new", "v2");
     const common::service_name engines{"engines"};
-    all.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, all.now);
-    all.core->rollouts.learn({engines, common::version_id{"v2"}, routing::rollout_state::reverted});
+    all.core->rollouts.apply_order({engines, common::version_id{"v2"}, seconds{20}}, all.now);
+    all.core->rollouts.apply_status(
+        {engines, common::version_id{"v2"}, routing::rollout_state::reverted});
     const auto out = all.ask(once);
     CHECK(all.sends() == 0);
     CHECK(out->status() == 503);
@@ -497,16 +498,18 @@
     // reverted; the caller's request must not be what it serves last.
     world all;
     for (const auto* id : {"a", "b", "c"}) {
-        all.core->servers.retire(common::server_id{id});
+        all.core->servers.mark_leaving(common::server_id{id});
     }
     all.add_server("new-1", "v2");
     all.add_server("new-2", "v2");
     const common::service_name engines{"engines"};
-    all.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, all.now);
-    all.core->rollouts.learn({engines, common::version_id{"v2"}, routing::rollout_state::complete});
+    all.core->rollouts.apply_order({engines, common::version_id{"v2"}, seconds{20}}, all.now);
+    all.core->rollouts.apply_status(
+        {engines, common::version_id{"v2"}, routing::rollout_state::complete});
     const auto out = all.ask(again);
     REQUIRE(all.sends() == 1);
-    all.core->rollouts.learn({engines, common::version_id{"v2"}, routing::rollout_state::reverted});
+    all.core->rollouts.apply_status(
+        {engines, common::version_id{"v2"}, routing::rollout_state::reverted});
     all.last().lose(execution::unknown);
     CHECK(all.sends() == 1);
     CHECK(out->status() == 502);
--- a/source/unit_tests/router/stated_limits_test.cpp
+++ b/source/unit_tests/router/stated_limits_test.cpp
@@ -46,7 +46,7 @@
 auto most_of_told(const answer_play& play, const std::string& server, common::time_point named)
     -> std::size_t
 {
-    return play.most_within(server, window, named + contact, [&](const arrival& one) {
+    return play.max_count_within(server, window, named + contact, [&](const arrival& one) {
         return play.had_answer(one, one.at - on_the_way);
     });
 }
@@ -64,7 +64,7 @@
         const auto named = play.now();
         play.run(seconds{20});
         for (const auto& [server, limit] : limits) {
-            const auto most = play.most_within(server, window, named + contact);
+            const auto most = play.max_count_within(server, window, named + contact);
             std::cout << "METRIC limit_most_in_4s_" << entries << "_at_" << limit << " " << most
                       << " requests\n";
             INFO(entries << " entries, " << limit << " a second");
@@ -92,7 +92,7 @@
         double used = 0.0;
         for (const auto& [server, limit] : limits) {
             INFO(entries << " entries, " << server << ", " << limit << " a second");
-            CHECK(play.most_within(server, window, named + contact) <= borne(limit));
+            CHECK(play.max_count_within(server, window, named + contact) <= borne(limit));
             used += static_cast<double>(play.arrivals_at(server, named + contact));
         }
         constexpr double taken_together = 21.0;
@@ -147,7 +147,7 @@
         play.run(seconds{8});
         for (const auto& [server, limit] : limits) {
             INFO(entries << " entries, " << limit << " a second");
-            CHECK(play.most_within(server, window, named + contact) <= borne(limit));
+            CHECK(play.max_count_within(server, window, named + contact) <= borne(limit));
         }
     }
 }
@@ -220,7 +220,7 @@
     answer_play play{{.entries = 27, .servers = 4, .per_second = 200}};
     name_limits(play, {{"s-0", 2.0}});
     play.run(seconds{6});
-    CHECK(play.most_within("s-0", window, play.now() - seconds{4}) <= borne(2.0));
+    CHECK(play.max_count_within("s-0", window, play.now() - seconds{4}) <= borne(2.0));
     play.answer = {};
     play.run(seconds{4});
     const auto lifted = play.now();
--- a/source/unit_tests/router/world.cpp
+++ b/source/unit_tests/router/world.cpp
@@ -16,7 +16,7 @@
     made.timeout = seconds{10};
     made.target = seconds{1};
     made.longest_pause = milliseconds{800};
-    made.most_attempts = attempts;
+    made.max_attempts = attempts;
     made.targets = {{common::service_name{"engines"}, 1}};
     return made;
 }
@@ -141,7 +141,7 @@
     }
 }
 
-auto world::add_server(const std::string& id, const std::string& version, std::uint64_t born)
+auto world::add_server(const std::string& id, const std::string& version, std::uint64_t started_at)
     -> void
 {
     const common::server_id name{id};
@@ -153,7 +153,7 @@
         common::version_id{version},
         8,
         false};
-    read.born = routing::start_time{born};
+    read.started_at = routing::start_time{started_at};
     this->core->servers.apply({name, std::move(read)});
 }
 
--- a/source/unit_tests/router/world.hpp
+++ b/source/unit_tests/router/world.hpp
@@ -131,8 +131,8 @@
 
     [[nodiscard]] auto sends() const -> std::size_t { return this->client->sent.size(); }
 
-    auto
-    add_server(const std::string& id, const std::string& version = "v1", std::uint64_t born = 0)
+    auto add_server(
+        const std::string& id, const std::string& version = "v1", std::uint64_t started_at = 0)
         -> void;
 
     common::time_point now{seconds{1000}};
--- a/source/unit_tests/routing/attempt_ledger_test.cpp
+++ b/source/unit_tests/routing/attempt_ledger_test.cpp
@@ -11,7 +11,7 @@
     route made;
     made.kind = kind;
     made.is_resumable = resumable;
-    made.most_attempts = attempts;
+    made.max_attempts = attempts;
     return made;
 }
 
@@ -23,11 +23,11 @@
     return ledger;
 }
 
-constexpr unsigned most_sends = 4;
+constexpr unsigned max_sends = 4;
 
 } // namespace
 
-TEST_CASE("only what can't have run may be called so, or be sent again blindly", "[ledger]")
+TEST_CASE("a request counts as not executed, or is resent, only if that is safe", "[ledger]")
 {
     const auto once = route_of(request_kind::non_idempotent, false, 1);
     const auto again = route_of(request_kind::idempotent, false, 2);
@@ -50,59 +50,59 @@
         INFO("end " << static_cast<int>(how));
         const auto ledger = after(how);
         CHECK(ledger.is_not_run() == not_run);
-        CHECK(ledger.may_send_again(once, most_sends) == once_again);
-        CHECK(ledger.may_send_again(fixed_stream, most_sends) == once_again);
-        CHECK(ledger.may_send_again(again, most_sends) == repeatable_again);
-        CHECK(ledger.may_send_again(stream, most_sends) == repeatable_again);
+        CHECK(ledger.may_send_again(once, max_sends) == once_again);
+        CHECK(ledger.may_send_again(fixed_stream, max_sends) == once_again);
+        CHECK(ledger.may_send_again(again, max_sends) == repeatable_again);
+        CHECK(ledger.may_send_again(stream, max_sends) == repeatable_again);
     }
 }
 
-TEST_CASE("runs and sends are bounded", "[ledger]")
+TEST_CASE("executions and sends are limited", "[ledger]")
 {
     const auto again = route_of(request_kind::idempotent, false, 2);
     auto ledger = after(attempt_end::ran);
     ledger.note_sent();
-    // Nothing came back: it may be the second run, and there must be no third.
+    // No response: it may be the second execution, and there must be no third.
     ledger.note_end(attempt_end::unknown);
-    CHECK_FALSE(ledger.may_send_again(again, most_sends));
+    CHECK_FALSE(ledger.may_send_again(again, max_sends));
     auto refused = after(attempt_end::not_executed);
-    for (unsigned i = 1; i < most_sends; ++i) {
-        CHECK(refused.may_send_again(again, most_sends));
+    for (unsigned i = 1; i < max_sends; ++i) {
+        CHECK(refused.may_send_again(again, max_sends));
         refused.note_sent();
         refused.note_end(attempt_end::not_executed);
     }
-    CHECK_FALSE(refused.may_send_again(again, most_sends));
+    CHECK_FALSE(refused.may_send_again(again, max_sends));
 }
 
-TEST_CASE("an answer is dropped only if two more attempts are left", "[ledger]")
+TEST_CASE("an answer is discarded only if two more attempts are left", "[ledger]")
 {
     attempt_ledger ledger;
     ledger.note_sent();
-    CHECK(ledger.may_be_dropped(route_of(request_kind::stream, true, 3), most_sends));
-    CHECK(ledger.may_be_dropped(route_of(request_kind::stream, true, 2), most_sends));
-    CHECK_FALSE(ledger.may_be_dropped(route_of(request_kind::stream, true, 1), most_sends));
+    CHECK(ledger.may_discard_answer(route_of(request_kind::stream, true, 3), max_sends));
+    CHECK(ledger.may_discard_answer(route_of(request_kind::stream, true, 2), max_sends));
+    CHECK_FALSE(ledger.may_discard_answer(route_of(request_kind::stream, true, 1), max_sends));
     CHECK_FALSE(
-        ledger.may_be_dropped(route_of(request_kind::non_idempotent, false, 3), most_sends));
+        ledger.may_discard_answer(route_of(request_kind::non_idempotent, false, 3), max_sends));
 }
 
-TEST_CASE("refusals that ask for rest leave a request its other sends, and are bounded", "[rest]")
+TEST_CASE("refusals with a backoff do not use up a request's sends, and are limited", "[rest]")
 {
     route on;
     on.kind = request_kind::non_idempotent;
-    on.most_attempts = 1;
-    constexpr unsigned most_sends = 4;
+    on.max_attempts = 1;
+    constexpr unsigned max_sends = 4;
     attempt_ledger ledger;
     const auto refuse = [&ledger] {
         ledger.note_sent();
         ledger.note_end(attempt_end::not_executed);
-        ledger.note_rest_asked();
+        ledger.note_backoff_asked();
     };
-    for (unsigned i = 0; i < 2 * most_sends - 1; ++i) {
+    for (unsigned i = 0; i < 2 * max_sends - 1; ++i) {
         refuse();
-        CHECK(ledger.may_send_again(on, most_sends));
+        CHECK(ledger.may_send_again(on, max_sends));
     }
     refuse();
-    CHECK_FALSE(ledger.may_send_again(on, most_sends));
+    CHECK_FALSE(ledger.may_send_again(on, max_sends));
     CHECK(ledger.is_not_run());
 }
 
--- a/source/unit_tests/routing/choice_world.cpp
+++ b/source/unit_tests/routing/choice_simulation.cpp
@@ -1,4 +1,4 @@
-#include "choice_world.hpp"
+#include "choice_simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -18,7 +18,7 @@
 const server_health healthy{health_options{}};
 const server_speed_tracker alike;
 
-/// A request under way, by the moment of its end.
+/// A request in flight, ordered by its end.
 struct running {
     time_point end;
     std::size_t entry = 0;
@@ -28,30 +28,30 @@
     auto operator>(const running& other) const -> bool { return this->end > other.end; }
 };
 
-class world {
+class simulation {
 public:
-    world(const world_shape& shape_to_use, const choice_options& options_to_use)
+    simulation(const simulation_shape& shape_to_use, const choice_options& options_to_use)
         : shape(shape_to_use), options(options_to_use), random(shape_to_use.seed),
-          books(shape_to_use.view_age.count() == 0 ? 1 : shape_to_use.entries)
+          trackers(shape_to_use.view_age.count() == 0 ? 1 : shape_to_use.entries)
     {
         for (std::size_t i = this->shape.returning; i < this->shape.servers; ++i) {
             this->add_server(i, {});
         }
         this->free_at.resize(this->shape.servers, start);
-        server_limiter_options options_of_intake;
-        options_of_intake.cold_excess = cold_excess;
-        options_of_intake.cold_slack = cold_slack;
+        server_limiter_options limiter_options;
+        limiter_options.cold_excess = cold_excess;
+        limiter_options.cold_slack = cold_slack;
         for (std::size_t i = 0; i < this->shape.entries; ++i) {
-            this->intakes.emplace_back(options_of_intake, send_slot_hooks{[this, i] {
-                                           return entry_rank{i, this->shape.entries};
-                                       }});
+            this->limiters.emplace_back(limiter_options, send_slot_hooks{[this, i] {
+                                            return entry_rank{i, this->shape.entries};
+                                        }});
         }
-        for (std::size_t i = 0; i < this->books.size(); ++i) {
+        for (std::size_t i = 0; i < this->trackers.size(); ++i) {
             this->hosts.emplace_back("entry-" + std::to_string(i));
         }
     }
 
-    auto run(milliseconds time) -> world_result
+    auto run(milliseconds time) -> simulation_result
     {
         const auto begin = start + time;
         const auto mean_work =
@@ -62,15 +62,15 @@
         auto next = start;
         for (auto now = start; now < begin + time; now += tick) {
             if (now == begin) {
-                this->bring_back(begin);
+                this->return_servers(begin);
             }
             while (next < now + tick) {
                 this->end_until(next);
-                this->ask(next, next >= begin);
+                this->handle_request(next, next >= begin);
                 next += std::chrono::duration_cast<common::duration>(
                     std::chrono::duration<double>(pause(this->random)));
             }
-            this->talk(now);
+            this->exchange_reports(now);
         }
         return this->result();
     }
@@ -86,14 +86,14 @@
         this->table.apply({server.id, server});
         const auto* known = this->table.find(server.id);
         this->starts.resize(this->shape.servers);
-        this->starts[number] = known->start();
+        this->starts[number] = known->instance();
         this->numbers[known] = number;
     }
 
-    auto bring_back(time_point begin) -> void
+    auto return_servers(time_point begin) -> void
     {
         constexpr std::chrono::seconds cold_time{3};
-        this->came_back = begin;
+        this->returned_at = begin;
         for (std::size_t i = 0; i < this->shape.returning; ++i) {
             this->add_server(i, begin + cold_time);
             this->free_at[i] = begin;
@@ -110,12 +110,12 @@
         return std::uniform_real_distribution<double>{}(this->random);
     }
 
-    auto book_of(std::size_t entry) -> load_tracker&
+    auto loads_of(std::size_t entry) -> load_tracker&
     {
-        return this->books[entry % this->books.size()];
+        return this->trackers[entry % this->trackers.size()];
     }
 
-    auto ask(time_point now, bool is_counted) -> void
+    auto handle_request(time_point now, bool is_counted) -> void
     {
         const auto entry = static_cast<std::size_t>(this->random() % this->shape.entries);
         const bool is_hot = this->chance() < this->shape.hot_share;
@@ -130,15 +130,15 @@
         const auto* chosen = choose_server(
             this->table.usable(engines),
             asked,
-            {this->book_of(entry),
+            {this->loads_of(entry),
              alike,
              healthy,
-             this->shape.takes_turns ? &this->intakes[entry] : nullptr,
-             this->shape.takes_turns ? cold_rate : 0.0},
+             this->shape.uses_send_slots ? &this->limiters[entry] : nullptr,
+             this->shape.uses_send_slots ? cold_rate : 0.0},
             this->options,
             this->random(),
             now);
-        this->intakes[entry].note_sent(*chosen, cold_rate, now);
+        this->limiters[entry].note_sent(*chosen, cold_rate, now);
         this->send(now, entry, this->numbers.at(chosen), asked.work, is_counted);
         this->note_prompt(prompt, this->numbers.at(chosen), is_counted);
     }
@@ -147,16 +147,16 @@
         -> void
     {
         if (server < this->shape.returning) {
-            this->sends_back[server].push_back(now);
+            this->sends_to_returned[server].push_back(now);
         }
         this->all_sends.push_back(now);
         auto& free = this->free_at[server];
-        const auto begins = std::max(free, now);
-        const auto found = std::chrono::duration<double>(begins - now).count() * server_pace;
-        free = begins + std::chrono::duration_cast<common::duration>(
-                            std::chrono::duration<double>(work / server_pace));
-        this->under_way.push({free, entry, server, work});
-        this->book_of(entry).begin(this->starts[server], work);
+        const auto starts_at = std::max(free, now);
+        const auto found = std::chrono::duration<double>(starts_at - now).count() * server_pace;
+        free = starts_at + std::chrono::duration_cast<common::duration>(
+                               std::chrono::duration<double>(work / server_pace));
+        this->in_flight.push({free, entry, server, work});
+        this->loads_of(entry).begin(this->starts[server], work);
         if (is_counted) {
             this->found_before.push_back(found);
         }
@@ -177,15 +177,15 @@
 
     auto end_until(time_point now) -> void
     {
-        while (!this->under_way.empty() && this->under_way.top().end <= now) {
-            const auto ended = this->under_way.top();
-            this->under_way.pop();
-            this->book_of(ended.entry).end(this->starts[ended.server], ended.work);
+        while (!this->in_flight.empty() && this->in_flight.top().end <= now) {
+            const auto ended = this->in_flight.top();
+            this->in_flight.pop();
+            this->loads_of(ended.entry).end(this->starts[ended.server], ended.work);
         }
     }
 
-    /// Each entry hears each other one once in twice the mean age.
-    auto talk(time_point now) -> void
+    /// Each entry receives each other entry's report once per twice the mean age.
+    auto exchange_reports(time_point now) -> void
     {
         const auto round = static_cast<std::size_t>(2 * this->shape.view_age / tick);
         if (round == 0) {
@@ -193,25 +193,25 @@
         }
         this->end_until(now);
         this->ticks += 1;
-        for (std::size_t from = 0; from < this->books.size(); ++from) {
-            const auto words = this->books[from].tell();
+        for (std::size_t from = 0; from < this->trackers.size(); ++from) {
+            const auto reports = this->trackers[from].make_reports();
             const auto& host = this->hosts[from];
-            for (std::size_t to = 0; to < this->books.size(); ++to) {
-                const auto turn = from * 31 + to * 17 + this->ticks;
-                if (from != to && turn % round == 0) {
-                    this->books[to].hear(host, words, now + this->shape.view_age * 6);
+            for (std::size_t to = 0; to < this->trackers.size(); ++to) {
+                const auto offset = from * 31 + to * 17 + this->ticks;
+                if (from != to && offset % round == 0) {
+                    this->trackers[to].apply_reports(host, reports, now + this->shape.view_age * 6);
                 }
             }
         }
     }
 
-    auto measure_return(world_result& found) const -> void
+    auto measure_return(simulation_result& found) const -> void
     {
         constexpr std::chrono::seconds cold_time{3};
-        for (const auto& [server, sends] : this->sends_back) {
-            const auto warm = std::ranges::lower_bound(sends, this->came_back + cold_time);
-            found.most_while_cold =
-                std::max(found.most_while_cold, most_in_a_second({sends.begin(), warm}));
+        for (const auto& [server, sends] : this->sends_to_returned) {
+            const auto warm = std::ranges::lower_bound(sends, this->returned_at + cold_time);
+            found.max_while_cold =
+                std::max(found.max_while_cold, max_per_second({sends.begin(), warm}));
         }
         const auto part =
             static_cast<double>(this->shape.returning) / static_cast<double>(this->shape.servers);
@@ -221,11 +221,11 @@
                 std::ranges::lower_bound(sends, from + window) -
                 std::ranges::lower_bound(sends, from));
         };
-        for (found.carried_after = milliseconds{0}; found.carried_after < std::chrono::seconds{10};
-             found.carried_after += window) {
-            const auto from = this->came_back + found.carried_after;
+        for (found.recovery_time = milliseconds{0}; found.recovery_time < std::chrono::seconds{10};
+             found.recovery_time += window) {
+            const auto from = this->returned_at + found.recovery_time;
             double to_them = 0.0;
-            for (const auto& [server, sends] : this->sends_back) {
+            for (const auto& [server, sends] : this->sends_to_returned) {
                 to_them += count_in(sends, from);
             }
             if (to_them >= part * count_in(this->all_sends, from)) {
@@ -234,14 +234,14 @@
         }
     }
 
-    auto result() -> world_result
+    auto result() -> simulation_result
     {
         std::ranges::sort(this->found_before);
         const auto at = [this](double part) {
             const auto count = static_cast<double>(this->found_before.size() - 1);
             return this->found_before[static_cast<std::size_t>(part * count)];
         };
-        world_result found{at(0.5), at(0.99), 0, 0.0, 0, milliseconds{0}};
+        simulation_result found{at(0.5), at(0.99), 0, 0.0, 0, milliseconds{0}};
         std::size_t all_hot = 0;
         for (const auto& [server, sends] : this->hot_sends) {
             all_hot += sends;
@@ -255,24 +255,24 @@
         return found;
     }
 
-    world_shape shape;
+    simulation_shape shape;
     choice_options options;
     std::mt19937_64 random;
     server_table table;
-    std::vector<load_tracker> books;
+    std::vector<load_tracker> trackers;
     std::vector<common::host_id> hosts;
     std::vector<time_point> free_at;
     std::vector<server_instance> starts;
     std::map<const registration*, std::size_t> numbers;
-    std::priority_queue<running, std::vector<running>, std::greater<>> under_way;
+    std::priority_queue<running, std::vector<running>, std::greater<>> in_flight;
     std::size_t ticks = 0;
     std::vector<double> found_before;
     std::map<std::size_t, std::size_t> hot_sends;
     std::map<std::uint64_t, std::size_t> holder;
-    std::vector<server_limiter> intakes;
-    time_point came_back = common::never;
-    /// By server that came back, and over all.
-    std::map<std::size_t, std::vector<time_point>> sends_back;
+    std::vector<server_limiter> limiters;
+    time_point returned_at = common::never;
+    /// Sends by returned server, and over all servers.
+    std::map<std::size_t, std::vector<time_point>> sends_to_returned;
     std::vector<time_point> all_sends;
     std::size_t other_sends = 0;
     std::size_t other_kept = 0;
@@ -280,10 +280,11 @@
 
 } // namespace
 
-auto run_world(const world_shape& shape, const choice_options& options, std::chrono::seconds time)
-    -> world_result
+auto run_simulation(
+    const simulation_shape& shape, const choice_options& options, std::chrono::seconds time)
+    -> simulation_result
 {
-    return world{shape, options}.run(time);
+    return simulation{shape, options}.run(time);
 }
 
 } // namespace reedramp::routing::testing
--- a/source/unit_tests/routing/choice_test.cpp
+++ b/source/unit_tests/routing/choice_test.cpp
@@ -6,7 +6,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "choice_world.hpp"
+#include "choice_simulation.hpp"
 
 namespace reedramp::routing {
 
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The least loaded of all servers, as far as the entry knows.
+/// Chooses the least loaded of all servers, as far as the entry knows.
 auto least_of_all() -> choice_options
 {
     choice_options all;
@@ -25,48 +25,48 @@
     return all;
 }
 
-/// With views as old as those of 103 entries that each tell four others in 100 ms.
-auto large_world() -> world_shape
+/// The default: views as old as with 103 entries that each report to four others every 100 ms.
+auto large_fleet() -> simulation_shape
 {
     return {};
 }
 
 } // namespace
 
-TEST_CASE("late views do not send all requests to the same servers", "[server_choice]")
+TEST_CASE("outdated views do not send all requests to the same servers", "[server_choice]")
 {
-    // A hundred entries hear of each other's work a second late. Each takes the least loaded server
-    // of all by its view, which is the same everywhere: for a second all send to the few servers
-    // that were idle, and then to the next few. Callers of short requests wait behind long prompts
-    // while two thirds of the servers are idle.
+    // A hundred entries learn of each other's work a second late. If each chooses the least loaded
+    // of all servers by its view, which is the same everywhere, for a second all send to the few
+    // servers that were idle, and then to the next few. Callers of short requests then wait behind
+    // long prompts while two thirds of the servers are idle.
     for (const std::size_t servers : {std::size_t{180}, std::size_t{620}}) {
-        auto shape = large_world();
+        auto shape = large_fleet();
         shape.servers = servers;
-        const auto few = run_world(shape, {}, seconds{3});
-        const auto all = run_world(shape, least_of_all(), seconds{3});
+        const auto few = run_simulation(shape, {}, seconds{3});
+        const auto all = run_simulation(shape, least_of_all(), seconds{3});
         INFO(servers << " servers: few " << few.p99 << " all " << all.p99);
         CHECK(few.p99 < 0.6 * all.p99);
         CHECK(few.p50 < 0.6 * all.p50);
     }
 }
 
-TEST_CASE("a choice among few is no worse at any age of view", "[server_choice]")
+TEST_CASE("a choice among a few candidates is no worse at any age of the view", "[server_choice]")
 {
     for (const int age : {300, 5000}) {
-        auto shape = large_world();
+        auto shape = large_fleet();
         shape.view_age = milliseconds{age};
-        const auto few = run_world(shape, {}, seconds{3});
-        const auto all = run_world(shape, least_of_all(), seconds{3});
+        const auto few = run_simulation(shape, {}, seconds{3});
+        const auto all = run_simulation(shape, least_of_all(), seconds{3});
         INFO(age << " ms: few " << few.p99 << " all " << all.p99);
         CHECK(few.p99 < all.p99);
     }
-    // Who knows everything finds nearly always an idle server among a few.
-    auto shape = large_world();
+    // With a current view, an idle server is nearly always among a few candidates.
+    auto shape = large_fleet();
     shape.view_age = milliseconds{0};
-    CHECK(run_world(shape, {}, seconds{3}).p99 < long_work);
+    CHECK(run_simulation(shape, {}, seconds{3}).p99 < long_work);
 }
 
-TEST_CASE("servers that come back empty and cold get no more than they bear", "[cold]")
+TEST_CASE("servers that return cold receive no more requests than they can handle", "[cold]")
 {
     struct return_of {
         std::size_t entries;
@@ -81,65 +81,64 @@
           return_of{27, 47, 12},
           return_of{27, 47, 16},
           return_of{103, 360, 120}}) {
-        world_shape shape;
+        simulation_shape shape;
         shape.entries = entries;
         shape.servers = servers;
         shape.returning = returning;
         shape.data_centres = 3;
-        // Six requests a second for each server.
+        // Six requests per second per server.
         shape.work_part = 0.24;
         const auto name = std::to_string(entries) + "x" + std::to_string(servers) + "_" +
                           std::to_string(returning);
-        const auto found = run_world(shape, {}, seconds{6});
-        shape.takes_turns = false;
-        const auto before = run_world(shape, {}, seconds{6});
-        std::cout << "METRIC cold_return_most_" << name << " " << found.most_while_cold
-                  << " requests (" << before.most_while_cold << " without turns)\n"
+        const auto found = run_simulation(shape, {}, seconds{6});
+        shape.uses_send_slots = false;
+        const auto before = run_simulation(shape, {}, seconds{6});
+        std::cout << "METRIC cold_return_most_" << name << " " << found.max_while_cold
+                  << " requests (" << before.max_while_cold << " without turns)\n"
                   << "METRIC cold_return_carried_after_" << name << " "
-                  << found.carried_after.count() << " ms (" << before.carried_after.count()
+                  << found.recovery_time.count() << " ms (" << before.recovery_time.count()
                   << ")\n";
         INFO(name);
-        CHECK(found.most_while_cold <= cold_bound);
-        // What turns are for: many servers back at once, before many entries.
-        CHECK((before.most_while_cold > cold_bound) == (returning > 4));
-        CHECK(found.carried_after <= milliseconds{4000});
+        CHECK(found.max_while_cold <= cold_bound);
+        // Send slots matter when many servers return at once to many entries.
+        CHECK((before.max_while_cold > cold_bound) == (returning > 4));
+        CHECK(found.recovery_time <= milliseconds{4000});
     }
 }
 
-TEST_CASE("with few servers a choice looks at all of them", "[server_choice]")
+TEST_CASE("with few servers all of them are candidates", "[server_choice]")
 {
-    world_shape shape;
+    simulation_shape shape;
     shape.entries = 4;
     shape.servers = 12;
     shape.data_centres = 3;
     shape.view_age = milliseconds{100};
-    const auto few = run_world(shape, {}, seconds{20});
-    const auto all = run_world(shape, least_of_all(), seconds{20});
+    const auto few = run_simulation(shape, {}, seconds{20});
+    const auto all = run_simulation(shape, least_of_all(), seconds{20});
     CHECK(few.p99 == all.p99);
 }
 
 TEST_CASE(
-    "a hot prompt gets the servers that it needs, the others stay where they are",
-    "[server_choice]")
+    "a frequent prefix spreads over several servers, other prompts keep theirs", "[server_choice]")
 {
-    // Half of all requests begin alike: many times what one server can do. With one holder they
-    // would queue there; spread over all servers each would read the beginning.
-    auto shape = large_world();
+    // Half of all requests share one prefix: many times what one server can handle. With one holder
+    // they would queue there; spread over all servers, each server would have to read the prefix.
+    auto shape = large_fleet();
     shape.hot_share = 0.5;
-    const auto found = run_world(shape, {}, seconds{4});
+    const auto found = run_simulation(shape, {}, seconds{4});
     INFO("holders " << found.hot_holders << " kept " << found.kept << " p99 " << found.p99);
     CHECK(found.hot_holders >= 4);
     CHECK(found.kept > 0.5);
-    auto cold = large_world();
-    CHECK(found.p99 < 2.0 * run_world(cold, {}, seconds{4}).p99);
+    auto cold = large_fleet();
+    CHECK(found.p99 < 2.0 * run_simulation(cold, {}, seconds{4}).p99);
 }
 
-TEST_CASE("a server that rests, has left or is new shows in the next choice", "[server_choice]")
+TEST_CASE("ejected, departed and new servers are reflected in the next choice", "[server_choice]")
 {
     server_table table;
     load_tracker loads;
     server_health health{health_options{}};
-    const server_speed_tracker paces;
+    const server_speed_tracker speeds;
     const common::service_name engines{"engines"};
     const auto name = [](int number) {
         return common::server_id{"s" + std::to_string(number)};
@@ -153,49 +152,50 @@
     }
     const time_point now{seconds{100}};
     std::uint64_t chance = 0;
-    const auto taken = [&] {
+    const auto chosen_ids = [&] {
         std::set<std::string> ids;
         for (int i = 0; i < 400; ++i) {
-            const auto* chosen =
-                choose_server(table.usable(engines), {}, {loads, paces, health}, {}, ++chance, now);
+            const auto* chosen = choose_server(
+                table.usable(engines), {}, {loads, speeds, health}, {}, ++chance, now);
             ids.insert(chosen->id.value());
         }
         return ids;
     };
-    CHECK(taken().contains("s0"));
+    CHECK(chosen_ids().contains("s0"));
     health.note(name(0), server_outcome::unreachable, now);
-    CHECK_FALSE(taken().contains("s0"));
-    table.retire(name(1));
-    CHECK_FALSE(taken().contains("s1"));
+    CHECK_FALSE(chosen_ids().contains("s0"));
+    table.mark_leaving(name(1));
+    CHECK_FALSE(chosen_ids().contains("s1"));
     registration fresh;
     fresh.id = name(99);
     fresh.service = engines;
     table.apply({fresh.id, fresh});
-    CHECK(taken().contains("s99"));
+    CHECK(chosen_ids().contains("s99"));
 }
 
-TEST_CASE("what a choice costs at the size that the design is for", "[.bench]")
+TEST_CASE("cost of a choice at the maximum design size", "[.bench]")
 {
     constexpr int servers = 620;
     constexpr int entries = 390;
     server_table table;
     load_tracker loads;
     const server_health health{health_options{}};
-    const server_speed_tracker paces;
-    const server_limiter intake{server_limiter_options{}, send_slot_hooks{}};
+    const server_speed_tracker speeds;
+    const server_limiter limiter{server_limiter_options{}, send_slot_hooks{}};
     const common::service_name engines{"engines"};
     const time_point now{seconds{100}};
-    std::vector<load_report> words;
+    std::vector<load_report> reports;
     for (int i = 0; i < servers; ++i) {
         registration server;
         server.id = common::server_id{"server-" + std::to_string(i)};
         server.service = engines;
         server.data_centre = common::data_centre_id{"dc-" + std::to_string(i % 6)};
         table.apply({server.id, server});
-        words.push_back({hash_of(server.start()), {1.0, 100.0 * i, 50.0}});
+        reports.push_back({hash_of(server.instance()), {1.0, 100.0 * i, 50.0}});
     }
     for (int i = 0; i < entries; ++i) {
-        loads.hear(common::host_id{"host-" + std::to_string(i)}, words, now + seconds{10});
+        loads.apply_reports(
+            common::host_id{"host-" + std::to_string(i)}, reports, now + seconds{10});
     }
     placement_request asked;
     asked.own_data_centre = common::data_centre_id{"dc-1"};
@@ -203,40 +203,45 @@
     asked.saved_work = 500.0;
     constexpr int choices = 20000;
     std::size_t length = 0;
-    const auto began = std::chrono::steady_clock::now();
+    const auto started_at = std::chrono::steady_clock::now();
     for (int i = 0; i < choices; ++i) {
         asked.affinity = static_cast<std::uint64_t>(i) * 0x9e3779b97f4a7c15ULL;
         const auto* chosen = choose_server(
-            table.usable(engines), asked, {loads, paces, health, &intake}, {}, asked.affinity, now);
+            table.usable(engines),
+            asked,
+            {loads, speeds, health, &limiter},
+            {},
+            asked.affinity,
+            now);
         length += chosen->id.value().size();
     }
-    const auto took = std::chrono::steady_clock::now() - began;
+    const auto took = std::chrono::steady_clock::now() - started_at;
     CHECK(length > 0);
     std::cout << "METRIC choice_ns "
               << std::chrono::duration_cast<std::chrono::nanoseconds>(took).count() / choices
               << " ns\n";
 }
 
-TEST_CASE("what a choice finds before it, by age of view", "[.bench]")
+TEST_CASE("queued work found by a choice, by age of the view", "[.bench]")
 {
     for (const std::size_t servers : {std::size_t{180}, std::size_t{620}}) {
         for (const int age : {0, 300, 1300, 5000}) {
-            world_shape shape;
+            simulation_shape shape;
             shape.servers = servers;
             shape.view_age = milliseconds{age};
             shape.entries = 103;
-            const auto print = [&](const std::string& how, const choice_options& options) {
-                const auto found = run_world(shape, options, seconds{4});
+            const auto print_metric = [&](const std::string& how, const choice_options& options) {
+                const auto found = run_simulation(shape, options, seconds{4});
                 std::cout << "METRIC choice_" << how << "_" << servers << "_servers_" << age
                           << "_ms_p99 " << found.p99 << " tokens (p50 " << found.p50 << ")\n";
             };
-            print("all", least_of_all());
+            print_metric("all", least_of_all());
             for (const std::size_t drawn : {2, 4, 8, 16, 32}) {
                 for (const std::size_t near : {std::size_t{0}, drawn / 2}) {
                     choice_options few;
                     few.drawn = drawn;
                     few.drawn_near = near;
-                    print("few_" + std::to_string(drawn) + "_" + std::to_string(near), few);
+                    print_metric("few_" + std::to_string(drawn) + "_" + std::to_string(near), few);
                 }
             }
         }
--- a/source/unit_tests/routing/event_splitter_test.cpp
+++ b/source/unit_tests/routing/event_splitter_test.cpp
@@ -13,34 +13,34 @@
 
 } // namespace
 
-TEST_CASE("events leave whole, wherever the bytes are cut", "[event_splitter]")
+TEST_CASE("only whole events are passed on, wherever the bytes are split", "[event_splitter]")
 {
     for (std::size_t cut = 0; cut <= three_events.size(); ++cut) {
         event_splitter splitter{-1};
         std::string out;
         REQUIRE(splitter.add(three_events.substr(0, cut), out));
-        // What has left so far ends with an event's end.
+        // The output so far ends with a complete event.
         CHECK((out.empty() || out.ends_with("\n\n")));
         REQUIRE(splitter.add(three_events.substr(cut), out));
         CHECK(out == three_events);
-        CHECK_FALSE(splitter.has_rest());
+        CHECK_FALSE(splitter.has_partial_event());
         CHECK(splitter.last_id() == 2);
     }
 }
 
-TEST_CASE("a server that fails inside an event leaves no piece of it", "[event_splitter]")
+TEST_CASE("an incomplete event of a failed server is not passed on", "[event_splitter]")
 {
-    // The server breaks off in the middle of event 1. The one that goes on begins with event 1;
-    // with the piece before it, the caller would read an event that no server sent.
+    // The server fails in the middle of event 1, and the server that continues starts with event 1.
+    // With the incomplete part before it, the caller would read an event that no server sent.
     event_splitter splitter{-1};
     std::string out;
     REQUIRE(splitter.add("id: 0\ndata: a\n\nid: 1\nda", out));
     CHECK(out == "id: 0\ndata: a\n\n");
-    CHECK(splitter.has_rest());
+    CHECK(splitter.has_partial_event());
     CHECK(splitter.last_id() == 0);
 }
 
-TEST_CASE("an event that is missing or comes twice stops the stream", "[event_splitter]")
+TEST_CASE("a missing or repeated event stops the stream", "[event_splitter]")
 {
     std::string out;
     event_splitter repeats{4};
@@ -52,9 +52,10 @@
     CHECK(out == "id: 5\r\ndata: a\r\n\r\n");
 }
 
-TEST_CASE("a server that never ends an event is left", "[event_splitter]")
+TEST_CASE("an event that never ends is rejected", "[event_splitter]")
 {
-    // Its bytes would gather until the entry's memory is used up, and all its callers with it.
+    // Its bytes would be buffered until the entry runs out of memory, which affects all its
+    // callers.
     event_splitter splitter{-1};
     const std::string piece(64UL * 1024UL, 'x');
     std::string out;
@@ -66,10 +67,10 @@
     CHECK(out.empty());
 }
 
-TEST_CASE("whatever bytes come, only whole events in order leave", "[event_splitter]")
+TEST_CASE("for arbitrary bytes, only whole events in order are passed on", "[event_splitter]")
 {
-    // Streams with bytes changed, dropped and repeated anywhere, cut into random pieces. The ids
-    // that leave must follow one another, and what leaves must end with an event's end.
+    // Streams with bytes changed, dropped and repeated at random positions, split into random
+    // pieces. The ids passed on must be consecutive, and the output must end with a complete event.
     std::mt19937_64 random{20261202};
     const auto draw = [&random](std::size_t below) {
         return random() % below;
@@ -108,7 +109,7 @@
         CHECK((out.empty() || out.ends_with("\n\n") || out.ends_with("\r\n\r\n")));
         CHECK(bytes.starts_with(out));
     }
-    // The largest number that a caller may name has none after it.
+    // The largest number that a caller may name has no successor.
     event_splitter last{std::numeric_limits<std::int64_t>::max()};
     std::string out;
     CHECK_FALSE(last.add("id: 0\ndata: a\n\n", out));
--- a/source/unit_tests/routing/home_regions_test.cpp
+++ b/source/unit_tests/routing/home_regions_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("requests stay in the regions of their homes", "[homes]")
+TEST_CASE("requests stay in their home regions", "[homes]")
 {
     std::vector<registration> all(3);
     all[0].data_centre = dc_a;
--- a/source/unit_tests/routing/list_freshness_test.cpp
+++ b/source/unit_tests/routing/list_freshness_test.cpp
@@ -13,7 +13,8 @@
 
 const time_point start{seconds{100}};
 
-/// Entries that follow a list; each tells all others ten times a second, unless it is down.
+/// Entries that follow a list. Each one reports to all others ten times per second, unless it is
+/// down.
 struct followed_list {
     std::vector<list_freshness> entries;
     std::vector<bool> is_up;
@@ -21,7 +22,7 @@
     std::uint64_t end = 10;
     std::uint64_t last_change = 10;
     int readings = 0;
-    /// What a message takes until its receiver has read it.
+    /// Delay until the receiver has read a message.
     milliseconds delay{0};
     bool has_signs_of_life = true;
     time_point now = start;
@@ -47,7 +48,7 @@
     auto step() -> void
     {
         this->now += milliseconds{100};
-        // A server's sign of life, which changes nothing.
+        // A server's heartbeat, which changes nothing.
         this->end += this->has_signs_of_life ? 1 : 0;
         for (std::size_t i = 0; i < this->entries.size(); ++i) {
             if (this->is_up[i] && this->entries[i].is_due(this->rank(i), this->now)) {
@@ -60,8 +61,8 @@
         for (std::size_t from = 0; from < this->entries.size(); ++from) {
             for (std::size_t to = 0; to < this->entries.size(); ++to) {
                 if (from != to && this->is_up[from] && this->is_up[to]) {
-                    this->entries[to].hear(
-                        this->entries[from].tell(this->now), this->now + this->delay);
+                    this->entries[to].apply_report(
+                        this->entries[from].make_report(this->now), this->now + this->delay);
                 }
             }
         }
@@ -93,13 +94,13 @@
 
 } // namespace
 
-TEST_CASE("calls to the store do not grow with the number of entries", "[list_freshness]")
+TEST_CASE("calls to the store do not increase with the number of entries", "[list_freshness]")
 {
     for (const std::size_t count : {1, 4, 26, 100}) {
         followed_list all{count};
-        // Also where nothing is written for long, so that all readings end at one place.
+        // Also without writes for a long time, when all readings end at the same position.
         all.has_signs_of_life = count % 4 != 0;
-        all.run(seconds{1}); // Each reads once at its start.
+        all.run(seconds{1}); // Each entry reads once at its start.
         all.readings = 0;
         all.run(seconds{20});
         INFO(count << " entries");
@@ -110,8 +111,8 @@
 
 TEST_CASE("a change is known everywhere within a second and a half", "[list_freshness]")
 {
-    // A server leaves. Entries that heard only that the list had been read a moment ago, and not
-    // that it had changed, would go on sending work there.
+    // A server leaves. Entries that learned only that the list was read recently, and not that it
+    // changed, would keep sending requests there.
     followed_list all{26};
     all.run(seconds{3});
     for (int i = 0; i < 12; ++i) {
@@ -122,9 +123,9 @@
     }
 }
 
-TEST_CASE("the entries that read may die at any moment", "[list_freshness]")
+TEST_CASE("the entries that read may fail at any time", "[list_freshness]")
 {
-    // Those that go first lose their power together, just as a server leaves.
+    // The entries that rank first lose power together, just as a server leaves.
     followed_list all{26};
     all.run(seconds{3});
     for (std::size_t i = 0; i < 10; ++i) {
@@ -135,12 +136,12 @@
     CHECK(all.all_know());
 }
 
-TEST_CASE("words that take time make no old reading new", "[list_freshness]")
+TEST_CASE("delayed reports do not make an old reading appear new", "[list_freshness]")
 {
-    // Entries on slow hosts take each other's messages in 60 ms late. Each passed on what it had
-    // heard as that much younger than it was, ten times a second and round in a circle, so that a
-    // reading aged by 40 ms in 100: all thought their list new for 2.5 s after the last reading,
-    // and sent work to a server that had left for as long.
+    // Entries on slow hosts process each other's messages 60 ms late. If each of them forwards a
+    // reading's age without that delay, ten times per second and in a cycle, the reading ages by
+    // only 40 ms in 100 ms: all entries considered their list current for 2.5 s after the last
+    // reading, and sent requests for as long to a server that had left.
     followed_list all{4};
     all.delay = milliseconds{60};
     all.run(seconds{3});
@@ -159,32 +160,32 @@
     one.note_read(10, true, start);
     CHECK_FALSE(one.is_due(20, start + milliseconds{1300}));
     CHECK(one.is_due(20, start + milliseconds{1400}));
-    // The first one reads once a second.
+    // The first entry reads once per second.
     CHECK(one.is_due(0, start + milliseconds{1000}));
 }
 
-TEST_CASE("what an entry lacks makes nobody's list look fresh", "[list_freshness]")
+TEST_CASE("an entry that lacks a change makes no other list appear current", "[list_freshness]")
 {
-    // One entry has read a change; the store turns another one away, which only hears of it. Its
-    // peers must not take its old list for the newest.
+    // One entry has read a change. Another entry can't read the store and only receives the report;
+    // its peers must not consider its old list current.
     list_freshness reader{freshness_options{}};
     list_freshness turned_away{freshness_options{}};
     reader.note_read(10, true, start);
     turned_away.note_read(10, true, start);
     const auto later = start + milliseconds{900};
     reader.note_read(20, true, later);
-    turned_away.hear(reader.tell(later), later);
+    turned_away.apply_report(reader.make_report(later), later);
     CHECK(turned_away.is_due(3, later));
-    CHECK(turned_away.tell(later).changed == 10);
-    CHECK(turned_away.tell(later).age == milliseconds{900});
-    // A told age that can't be: it counts as just now, no later.
-    turned_away.hear({10, milliseconds{-5000}}, later);
-    CHECK(turned_away.tell(later).age >= milliseconds{0});
-    // One that has read nothing makes no list fresh.
+    CHECK(turned_away.make_report(later).changed == 10);
+    CHECK(turned_away.make_report(later).age == milliseconds{900});
+    // An impossible age counts as zero.
+    turned_away.apply_report({10, milliseconds{-5000}}, later);
+    CHECK(turned_away.make_report(later).age >= milliseconds{0});
+    // An entry that has read nothing makes no list current.
     list_freshness fresh{freshness_options{}};
     list_freshness other{freshness_options{}};
     other.note_read(10, true, start);
-    other.hear(fresh.tell(later), later);
+    other.apply_report(fresh.make_report(later), later);
     CHECK(other.is_due(4, start + milliseconds{1400}));
 }
 
--- a/source/unit_tests/routing/load_effect_test.cpp
+++ b/source/unit_tests/routing/load_effect_test.cpp
@@ -13,7 +13,7 @@
 const route_name drafts{"drafts"};
 const route_name tags{"tags"};
 
-/// Streams of an engine whose pauses grow with `slope`.
+/// An engine whose streams' pauses grow with `slope`.
 struct engine {
     std::mt19937_64 random{20261202};
     double slope = 0.33;
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("the effect of load is learned", "[load_effect]")
+TEST_CASE("the effect of load is estimated", "[load_effect]")
 {
     for (const double slope : {0.1, 0.33, 0.6}) {
         load_effect learned;
@@ -53,9 +53,10 @@
     }
 }
 
-TEST_CASE("engines that change are followed", "[load_effect]")
+TEST_CASE("the estimate follows changes of the engines", "[load_effect]")
 {
-    // New engines read prompts apart from their answers; what the old ones showed must not last.
+    // New engines read prompts separately from generating answers; the old engines' effect must not
+    // persist.
     load_effect learned;
     engine one;
     one.slope = 0.6;
@@ -65,10 +66,10 @@
     CHECK(learned.slope() < 0.2);
 }
 
-TEST_CASE("routes with other pauses do not pass for load", "[load_effect]")
+TEST_CASE("differences between routes are not taken for an effect of load", "[load_effect]")
 {
-    // Tags come where little is read and have long pauses, drafts the other way round. Over both
-    // together load seems to make streams faster.
+    // Tags have long pauses and occur where little is read, drafts the opposite. Over both routes
+    // together, load would seem to make streams faster.
     load_effect learned;
     engine one;
     for (int i = 0; i < 300; ++i) {
@@ -79,7 +80,7 @@
     CHECK(learned.slope() == Approx(0.33).margin(0.1));
 }
 
-TEST_CASE("before the first stream the usual effect holds", "[load_effect]")
+TEST_CASE("before the first stream the prior estimate is used", "[load_effect]")
 {
     const load_effect fresh;
     CHECK(fresh.observations() == 0.0);
@@ -88,7 +89,7 @@
     CHECK(fresh.without_load(3000.0, 4.0) < 3.5);
 }
 
-TEST_CASE("absurd input leaves the effect sound", "[load_effect]")
+TEST_CASE("invalid input does not corrupt the estimate", "[load_effect]")
 {
     constexpr double none = std::numeric_limits<double>::quiet_NaN();
     constexpr double endless = std::numeric_limits<double>::infinity();
