--- a/source/core/router/crash_broadcaster.cpp
+++ b/source/core/router/crash_broadcaster.cpp
@@ -82,7 +82,7 @@
         this->self,
         {},
         {},
-        this->core->crashes.tell_barred(max_barred_reported, now),
+        this->core->crashes.make_barred_reports(max_barred_reported, now),
         this->core->era()};
 }
 
@@ -110,9 +110,9 @@
 
 auto crash_broadcaster::check_suspects() -> void
 {
-    for (const auto& start : this->core->crashes.take_doubtful()) {
+    for (const auto& start : this->core->crashes.take_unconfirmed()) {
         const auto* known = this->core->servers.find(start.id);
-        if (known == nullptr || known->start() != start) {
+        if (known == nullptr || known->instance() != start) {
             continue;
         }
         this->hooks.is_reachable(*known, [weak = this->weak_from_this(), start](bool listens) {
@@ -133,13 +133,13 @@
 auto crash_broadcaster::bar_requests(time_point now) -> void
 {
     bool is_own = false;
-    for (const auto& one : this->core->crashes.judge(now)) {
+    for (const auto& one : this->core->crashes.find_barred(now)) {
         is_own = is_own || one.is_own;
         this->core->counters.barred.add();
         common::log(
             common::log_part::place,
             common::log_level::warning,
-            "request barred print=" + to_string(one.print) + " crashes=" +
+            "request barred print=" + to_string(one.fingerprint) + " crashes=" +
                 std::to_string(one.crashes) + " others=" + std::to_string(one.others));
     }
     if (is_own) {
@@ -154,8 +154,8 @@
         return;
     }
     const auto now = this->core->hooks.clock();
-    this->core->crashes.hear_losses(update->lost, now);
-    this->core->crashes.hear_served(update->served, now);
+    this->core->crashes.apply_losses(update->lost, now);
+    this->core->crashes.apply_served(update->served, now);
     for (auto one : update->barred) {
         // A record written in an earlier era of the store no longer exists.
         one.is_recorded = one.is_recorded && update->era == this->core->era();
--- a/source/core/router/crash_update.cpp
+++ b/source/core/router/crash_update.cpp
@@ -38,7 +38,7 @@
     const auto lost = items_in_part(update.lost, number);
     auto losses = root.initLost(static_cast<unsigned>(lost.size()));
     for (unsigned i = 0; i < lost.size(); ++i) {
-        losses[i].setPrint(lost[i].print.value());
+        losses[i].setPrint(lost[i].fingerprint.value());
         losses[i].setServer(lost[i].server);
         losses[i].setAgeMs(milliseconds_field(lost[i].age));
         losses[i].setSentAgeMs(milliseconds_field(lost[i].sent_age));
@@ -46,13 +46,13 @@
     const auto served = items_in_part(update.served, number);
     auto requests = root.initServed(static_cast<unsigned>(served.size()));
     for (unsigned i = 0; i < served.size(); ++i) {
-        requests[i].setPrint(served[i].print.value());
+        requests[i].setPrint(served[i].fingerprint.value());
         requests[i].setAgeMs(milliseconds_field(served[i].age));
     }
     const auto barred = items_in_part(update.barred, number);
     auto refused = root.initBarred(static_cast<unsigned>(barred.size()));
     for (unsigned i = 0; i < barred.size(); ++i) {
-        refused[i].setPrint(barred[i].print.value());
+        refused[i].setPrint(barred[i].fingerprint.value());
         refused[i].setAgeMs(milliseconds_field(barred[i].age));
         refused[i].setUnseenMs(milliseconds_field(barred[i].unseen));
         refused[i].setIsRecorded(barred[i].is_recorded);
--- a/source/core/router/evacuations.cpp
+++ b/source/core/router/evacuations.cpp
@@ -15,7 +15,7 @@
 auto router_core::apply_evacuation_orders(
     const std::vector<routing::evacuation_order>& orders, stream_position end) -> void
 {
-    this->on_evacuation_change(this->evacuations.follow(orders, end), "store");
+    this->on_evacuation_change(this->evacuations.apply_orders(orders, end), "store");
 }
 
 auto router_core::on_evacuation_change(
@@ -25,7 +25,7 @@
         return;
     }
     this->evacuation_change_count += 1;
-    this->servers.close(this->evacuations.evacuated());
+    this->servers.set_evacuated(this->evacuations.evacuated());
     const auto now = this->hooks.clock();
     const auto log = [&source](const char* what, const common::data_centre_id& data_centre) {
         common::log(
@@ -37,10 +37,10 @@
     for (const auto& data_centre : changed.evacuated) {
         log("evacuated", data_centre);
     }
-    for (const auto& data_centre : changed.taken_back) {
+    for (const auto& data_centre : changed.lifted) {
         // Its servers may have restarted while they received no requests. Their next registration
         // record takes a second or two.
-        this->servers.doubt_warmth(data_centre, now + this->options.cold_after_evacuation);
+        this->servers.assume_cold(data_centre, now + this->options.cold_after_evacuation);
         log("taken back", data_centre);
     }
     this->counters.evacuated.set(static_cast<std::int64_t>(this->evacuations.evacuated().size()));
--- a/source/core/router/list_broadcaster.cpp
+++ b/source/core/router/list_broadcaster.cpp
@@ -44,7 +44,7 @@
     update.host = this->self;
     update.address = http::to_string(this->own_address);
     update.data_centre = this->core->options.data_centre;
-    update.freshness = this->core->freshness.tell(this->core->hooks.clock());
+    update.freshness = this->core->freshness.make_report(this->core->hooks.clock());
     update.rules_version = this->core->rules_version();
     update.digest = this->core->servers.digest();
     update.part = std::move(part);
@@ -113,7 +113,7 @@
     if (step == part_result::gap) {
         this->query(from, this->list->known_to());
     }
-    const bool is_newer = this->core->freshness.hear(update.freshness, now);
+    const bool is_newer = this->core->freshness.apply_report(update.freshness, now);
     if (is_newer) {
         this->source_host = update.host.value();
         this->forward(update, this->hooks.recipients());
@@ -188,7 +188,7 @@
     }
     this->next_query_at = this->core->hooks.clock();
     this->list->apply_neighbour_part(update->part);
-    if (this->core->freshness.hear(update->freshness, this->core->hooks.clock())) {
+    if (this->core->freshness.apply_report(update->freshness, this->core->hooks.clock())) {
         this->source_host = update->host.value();
     }
 }
--- a/source/core/router/peer_report.cpp
+++ b/source/core/router/peer_report.cpp
@@ -32,7 +32,7 @@
         to.set(at++, static_cast<float>(mean.count));
     };
     std::ranges::for_each(from.old_means, add);
-    std::ranges::for_each(from.usual_times, add);
+    std::ranges::for_each(from.baseline_times, add);
 }
 
 auto read_mean_fields(capnp::List<float>::Reader from, routing::evidence_report& to) -> void
@@ -46,7 +46,7 @@
         mean = is_valid ? policy::sample_mean{value, count} : policy::sample_mean{};
     };
     std::ranges::for_each(to.old_means, next);
-    std::ranges::for_each(to.usual_times, next);
+    std::ranges::for_each(to.baseline_times, next);
 }
 
 auto read_evidence(schema::RouteEvidence::Reader from) -> std::optional<routing::evidence_report>
--- a/source/core/router/relay.cpp
+++ b/source/core/router/relay.cpp
@@ -113,7 +113,7 @@
     const auto now = this->core->hooks.clock();
     const auto work = this->work();
     auto next = std::make_shared<attempt>();
-    next->server = server.start();
+    next->server = server.instance();
     next->version = server.version;
     next->work = work.prompt + work.answer;
     next->prompt_work = work.prompt;
@@ -208,7 +208,7 @@
 
 auto relay::may_leave_current() const -> bool
 {
-    return this->ledger.may_leave(*this->request.route, this->core->options.max_sends) &&
+    return this->ledger.may_abandon_send(*this->request.route, this->core->options.max_sends) &&
            this->core->hooks.clock() < this->give_up_at;
 }
 
--- a/source/core/router/relay.hpp
+++ b/source/core/router/relay.hpp
@@ -196,6 +196,7 @@
         routing::attempt_end end,
         routing::server_outcome outcome) -> void;
     [[nodiscard]] auto is_stream() const -> bool;
+
     /// As `router_core::fingerprint_of`, computed on first use.
     auto fingerprint() -> routing::request_fingerprint;
     /// Whether the caller already has a part of the stream from an earlier connection.
--- a/source/core/router/relay_answers.cpp
+++ b/source/core/router/relay_answers.cpp
@@ -92,7 +92,7 @@
     }
     if (of->head_verdict == verdict::not_executed && head.status == misdirected) {
         // Another server has the address now, so the intended one has ended.
-        this->core->servers.drop(of->server, this->core->hooks.clock());
+        this->core->servers.remove_replaced(of->server, this->core->hooks.clock());
     }
     if (of->head_verdict == verdict::success && this->is_stream() && !this->ask_larger_model(of)) {
         of->events.emplace(this->last_event);
@@ -122,12 +122,12 @@
 {
     const auto& route = *this->request.route;
     const bool may_ask = !this->model.empty() && !this->is_streaming &&
-                         this->ledger.may_be_dropped(route, this->core->options.max_sends);
+                         this->ledger.may_discard_answer(route, this->core->options.max_sends);
     const auto stated = http::find_header(of->head.headers, this->core->options.names.confidence);
     const auto confidence = stated ? parse_confidence(*stated) : -1;
     const bool must_be_quick = this->core->must_be_quick(route, this->request.caller);
     const auto required = must_be_quick ? 0.0
-                                        : routing::asked_confidence(
+                                        : routing::required_confidence(
                                               this->core->options.models,
                                               route,
                                               this->core->waits.level(),
@@ -227,7 +227,7 @@
         if (!of->has_events) {
             of->has_events = true;
             of->first_event = of->last_progress;
-            this->core->loads.lighten(of->server, of->prompt_work);
+            this->core->loads.reduce_work(of->server, of->prompt_work);
             of->work -= of->prompt_work;
             const auto took = milliseconds_between(of->sent, of->last_progress);
             const auto& route = this->request.route->name;
@@ -275,7 +275,7 @@
         this->log_answer(*of, "server refused");
         this->end_attempt(of, attempt_end::not_executed, server_outcome::refused);
         if (of->directives.backoff) {
-            this->ledger.note_rest_asked();
+            this->ledger.note_backoff_asked();
         }
         this->retry(result_code::no_capacity);
         return;
@@ -340,7 +340,7 @@
 
 auto relay::on_success(const std::shared_ptr<attempt>& of) -> void
 {
-    if (of->events && of->events->has_rest()) {
+    if (of->events && of->events->has_partial_event()) {
         // The body ended normally, but in the middle of an event.
         this->end_attempt(of, attempt_end::ran, server_outcome::failed);
         this->retry(result_code::stream_broken);
--- a/source/core/router/relay_target.cpp
+++ b/source/core/router/relay_target.cpp
@@ -112,7 +112,7 @@
 
 auto relay::has_tried(const routing::registration& server) const -> bool
 {
-    return std::ranges::find(this->tried, server.start()) != this->tried.end();
+    return std::ranges::find(this->tried, server.instance()) != this->tried.end();
 }
 
 auto relay::has_region_limits() const -> bool
@@ -149,7 +149,7 @@
     for (const auto* server :
          this->filter_by_version(this->version_rule(now), this->eligible_servers())) {
         if (!this->has_tried(*server)) {
-            next = std::min(next, known.intake->next_turn(*server, known.cold_per_second, now));
+            next = std::min(next, known.limiter->next_slot(*server, known.cold_per_second, now));
         }
     }
     return next;
@@ -186,7 +186,7 @@
     const auto cold =
         std::ranges::count_if(open, [now](const auto* server) { return server->is_cold(now); });
     const auto resting = std::ranges::count_if(open, [this, now](const auto* server) {
-        return this->core->limiter.rests_until(*server) > now;
+        return this->core->limiter.backoff_until(*server) > now;
     });
     const auto limited = std::ranges::count_if(
         open, [this](const auto* server) { return this->core->limiter.is_limited(*server); });
@@ -211,7 +211,7 @@
     const auto known = this->trackers();
     auto next = common::never;
     for (const auto* server : open) {
-        next = std::min(next, known.intake->takes_callers_at(*server, known.cold_per_second, now));
+        next = std::min(next, known.limiter->caller_retry_at(*server, known.cold_per_second, now));
     }
     if (next <= now) {
         return options.retry_after;
@@ -230,8 +230,8 @@
     routing::keep_allowed(usable, rule);
     if (rule.preferred && rule.spread < 1.0) {
         routing::keep_canaries(usable, rule.spread, [this, now](const auto& server) {
-            return this->has_tried(server) || this->core->limiter.takes_few(server, now) ||
-                   this->core->health.is_resting(server.start(), now);
+            return this->has_tried(server) || this->core->limiter.is_restricted(server, now) ||
+                   this->core->health.is_ejected(server.instance(), now);
         });
     }
     return usable;
@@ -271,7 +271,8 @@
     const auto used = this->model_index;
     this->use_model(routing::next_model(*this->request.route));
     const auto* server = this->choose_server();
-    const auto ahead = server == nullptr ? 0.0 : this->core->loads.total(server->start(), now).work;
+    const auto ahead =
+        server == nullptr ? 0.0 : this->core->loads.total(server->instance(), now).work;
     const auto first_event =
         this->core->speeds[this->service].expected(ahead + this->work().prompt);
     this->use_model(used);
--- a/source/core/router/router_core.cpp
+++ b/source/core/router/router_core.cpp
@@ -77,7 +77,7 @@
     -> routing::request_fingerprint
 {
     const auto* owner = this->rules_in_force->owner_of(caller.key);
-    return routing::print_of(
+    return routing::fingerprint_of(
         {owner == nullptr ? std::string_view{} : owner->name.value(),
          request.method,
          http::find_header(request.headers, "Host").value_or(""),
@@ -88,11 +88,11 @@
 auto router_core::apply_barred_report(
     const routing::barred_report& report, const std::string& source) -> void
 {
-    if (this->crashes.hear_barred(report, this->hooks.clock())) {
+    if (this->crashes.apply_barred(report, this->hooks.clock())) {
         common::log(
             common::log_part::place,
             common::log_level::warning,
-            "request barred print=" + to_string(report.print) + " told_by=" + source);
+            "request barred print=" + to_string(report.fingerprint) + " told_by=" + source);
     }
 }
 
@@ -101,7 +101,7 @@
     const server_directives& directives,
     const std::string& attempt) -> void
 {
-    if (directives.has_malformed_limit && this->limiter.limits().note_odd(server)) {
+    if (directives.has_malformed_limit && this->limiter.limits().note_malformed(server)) {
         this->counters.count_server_statement("limit_unreadable");
         common::log(
             common::log_part::members,
@@ -115,7 +115,7 @@
     const auto change = this->limiter.limits().note(server, directives.limit, now);
     this->log_limit(change, to_string(server), directives.limit, " request=" + attempt);
     const bool concerns_all =
-        change == routing::limit_change::named || change == routing::limit_change::lifted;
+        change == routing::limit_change::imposed || change == routing::limit_change::lifted;
     if (concerns_all && now - this->last_limit_report >= this->options.limit_report_interval) {
         this->server_directive_changes += 1;
         this->last_limit_report = now;
@@ -126,10 +126,10 @@
     -> void
 {
     const auto* known = this->servers.find(server.id);
-    if (known == nullptr || known->start() != server) {
+    if (known == nullptr || known->instance() != server) {
         return;
     }
-    this->servers.retire(server, this->hooks.clock());
+    this->servers.mark_leaving(server, this->hooks.clock());
     this->server_directive_changes += 1;
     this->counters.count_server_statement("leaving");
     common::log(
@@ -144,7 +144,7 @@
     // All entries are refused at the same moment; the random delay spreads their return.
     const auto more =
         std::min(backoff, this->options.return_spread) * common::random_unit(this->hooks.random);
-    this->limiter.note_rest(
+    this->limiter.note_backoff(
         server, this->hooks.clock() + backoff + std::chrono::duration_cast<common::duration>(more));
     this->counters.backoffs.add();
 }
@@ -153,9 +153,9 @@
     const std::vector<routing::limit_report>& reports, const std::string& source) -> void
 {
     for (const auto& one : reports) {
-        const auto change = this->limiter.limits().hear(one, this->hooks.clock());
+        const auto change = this->limiter.limits().apply_report(one, this->hooks.clock());
         if (change != routing::limit_change::none) {
-            const auto server = this->servers.find_named(one.server);
+            const auto server = this->servers.find_by_hash(one.server);
             const auto name = server ? to_string(*server) : "unknown";
             this->log_limit(change, name, one.per_second, " told_by=" + source);
         }
@@ -288,7 +288,7 @@
     }
     if (why == common::result_code::ends_servers) {
         // A request that returns sooner is refused again, and stays barred for longer.
-        return this->options.crashes.remembered;
+        return this->options.crashes.barred_for;
     }
     const auto usual = this->options.retry_after;
     if (why != common::result_code::shutting_down || !this->hooks.accepted_elsewhere_at) {
@@ -307,7 +307,7 @@
     if (found == nullptr) {
         return common::failure(common::result_code::unknown_path);
     }
-    const bool needs_key = this->rules_in_force->rules().asks_for_keys() && !found->is_open;
+    const bool needs_key = this->rules_in_force->rules().requires_keys() && !found->is_open;
     if (needs_key && this->rules_in_force->owner_of(caller.key) == nullptr) {
         return common::failure(common::result_code::unauthenticated);
     }
--- a/source/core/router/router_core.hpp
+++ b/source/core/router/router_core.hpp
@@ -25,7 +25,7 @@
 #include "routing/list_freshness.hpp"
 #include "routing/load_tracker.hpp"
 #include "routing/model_choice.hpp"
-#include "routing/rollout_guide.hpp"
+#include "routing/rollout_manager.hpp"
 #include "routing/server_choice.hpp"
 #include "routing/server_health.hpp"
 #include "routing/server_limiter.hpp"
@@ -277,7 +277,7 @@
     routing::server_limiter limiter;
     routing::evacuation_registry evacuations;
     routing::crash_tracker crashes;
-    routing::rollout_guide rollouts;
+    routing::rollout_manager rollouts;
     metrics::registry series;
     routing::wait_gauge waits;
     router_metrics counters;
--- a/source/core/router/servers_list.hpp
+++ b/source/core/router/servers_list.hpp
@@ -96,7 +96,7 @@
     auto after_change(time_point now) -> void;
     /// End of the grace period of lapsed registrations, as known so far.
     [[nodiscard]] auto kept_until(time_point now) const -> time_point;
-    auto end_lapsed(time_point now) -> void;
+    auto remove_lapsed(time_point now) -> void;
     auto check_lapsed() -> void;
     /// Removes state of servers that are gone.
     auto remove_stale_state(time_point now) -> void;
--- a/source/core/router/shared_store.hpp
+++ b/source/core/router/shared_store.hpp
@@ -56,7 +56,7 @@
 
 /// Record of a barred request, for entries that all restart at once.
 struct barred_record {
-    routing::request_fingerprint print;
+    routing::request_fingerprint fingerprint;
     /// When it was barred, in milliseconds since 1970 by the clock of the writer's host.
     std::uint64_t unix_ms = 0;
 
@@ -104,7 +104,8 @@
     std::function<auto(entry_record self, answer_hook<stream_position> done)->void> write_entry;
     std::function<auto(barred_record one, answer_hook<stream_position> done)->void> write_barred;
     /// Deletes the record.
-    std::function<auto(routing::request_fingerprint print, answer_hook<stream_position> done)->void>
+    std::function<
+        auto(routing::request_fingerprint fingerprint, answer_hook<stream_position> done)->void>
         drop_barred;
 
     /// Decodes a configuration from the text received from a peer.
--- a/source/router/peer_group.cpp
+++ b/source/router/peer_group.cpp
@@ -115,14 +115,14 @@
     report.address = http::to_string(this->own_address);
     report.data_centre = this->own_data_centre;
     report.rules_version = this->core->rules_version();
-    report.loads = this->core->loads.tell();
-    report.rollouts = this->core->rollouts.tell(now);
-    report.freshness = this->core->freshness.tell(now);
-    report.outcomes = this->core->health.tell(now);
+    report.loads = this->core->loads.make_reports();
+    report.rollouts = this->core->rollouts.make_reports(now);
+    report.freshness = this->core->freshness.make_report(now);
+    report.outcomes = this->core->health.make_reports(now);
     report.leaving = this->core->servers.leaving();
     report.ended = this->core->servers.ended(now);
-    report.evacuations = this->core->evacuations.tell();
-    report.limits = this->core->limiter.limits().tell(now);
+    report.evacuations = this->core->evacuations.make_report();
+    report.limits = this->core->limiter.limits().make_reports(now);
     if (this->core->process_ends_at() != common::never) {
         report.ends_in = std::chrono::duration_cast<std::chrono::milliseconds>(
             this->core->process_ends_at() - now);
@@ -184,7 +184,7 @@
 {
     return {
         this->core->rules_version(),
-        this->core->rollouts.orders_taken(),
+        this->core->rollouts.orders_applied(),
         this->core->evacuation_revision(),
         this->core->server_directive_revision()};
 }
@@ -257,10 +257,10 @@
     this->apply_server_reports(*report, now);
     this->core->apply_limit_reports(report->limits, report->host.value());
     const auto trusted_until = now + this->round() * load_report_rounds;
-    this->core->loads.hear(report->host, report->loads, trusted_until);
-    this->core->freshness.hear(report->freshness, now);
-    this->core->health.hear(report->host, report->outcomes, trusted_until, now);
-    this->core->rollouts.hear(evidence_source(*report), report->rollouts, now);
+    this->core->loads.apply_reports(report->host, report->loads, trusted_until);
+    this->core->freshness.apply_report(report->freshness, now);
+    this->core->health.apply_reports(report->host, report->outcomes, trusted_until, now);
+    this->core->rollouts.apply_reports(evidence_source(*report), report->rollouts, now);
     if (report->rules_version > this->core->rules_version()) {
         this->on_newer_rules(*from);
     }
@@ -384,11 +384,11 @@
             std::string{what} + " server=" + to_string(server) + " told_by=" + report.host.value());
     };
     auto& servers = this->core->servers;
-    for (const auto& server : servers.retire_named(report.leaving, now)) {
+    for (const auto& server : servers.mark_leaving_by_hash(report.leaving, now)) {
         log("server leaving", server);
     }
     for (const auto& server :
-         servers.end_named(report.ended, this->core->freshness.read_to(), now)) {
+         servers.end_by_hash(report.ended, this->core->freshness.read_to(), now)) {
         log("server gone", server);
     }
 }
--- a/source/unit_tests/router/barred_records_test.cpp
+++ b/source/unit_tests/router/barred_records_test.cpp
@@ -27,8 +27,8 @@
                 done(stream_position{1});
             }
         };
-        store.drop_barred = [this](routing::request_fingerprint print, auto done) {
-            this->dropped.push_back(print);
+        store.drop_barred = [this](routing::request_fingerprint removed, auto done) {
+            this->dropped.push_back(removed);
             done(stream_position{1});
         };
         this->records = std::make_shared<barred_records>(
@@ -37,7 +37,7 @@
 
     auto bar(std::chrono::milliseconds age, bool is_recorded = false) -> void
     {
-        this->entry.core->crashes.hear_barred(
+        this->entry.core->crashes.apply_barred(
             {fingerprint, age, age, is_recorded}, this->entry.now);
     }
 
@@ -109,9 +109,9 @@
     for (auto* each : {&first, &second}) {
         each->records->apply_stored({fresh, old});
         CHECK(each->entry.core->crashes.is_barred(fingerprint));
-        CHECK(!each->entry.core->crashes.is_barred(old.print));
+        CHECK(!each->entry.core->crashes.is_barred(old.fingerprint));
     }
-    CHECK(first.dropped == std::vector{old.print});
+    CHECK(first.dropped == std::vector{old.fingerprint});
     CHECK(second.dropped.empty());
     // A copy of the request that was in flight is served, so the request is admitted again, also
     // after the record is read again.
--- a/source/unit_tests/router/cold_test.cpp
+++ b/source/unit_tests/router/cold_test.cpp
@@ -46,7 +46,7 @@
     {
         auto server = *this->core->servers.find(common::server_id{id});
         server.cold_until = this->now + time;
-        this->core->servers.take(server, this->now);
+        this->core->servers.apply_registration(server, this->now);
     }
 };
 
--- a/source/unit_tests/router/crash_simulation.cpp
+++ b/source/unit_tests/router/crash_simulation.cpp
@@ -54,8 +54,9 @@
 auto crash_simulation::start_server(const std::string& id) -> void
 {
     this->alive.insert(id);
-    const auto born = this->options.restarts_under_id ? this->now().time_since_epoch().count() : 0;
-    this->fleet.write(id, false, static_cast<std::uint64_t>(born));
+    const auto started_at =
+        this->options.restarts_under_id ? this->now().time_since_epoch().count() : 0;
+    this->fleet.write(id, false, static_cast<std::uint64_t>(started_at));
 }
 
 auto crash_simulation::ask(std::size_t entry, const std::string& body, const request_options& how)
@@ -197,8 +198,9 @@
 {
     for (const auto& [body, crashes] : this->crashes_by_body) {
         const bool is_known = std::ranges::all_of(this->fleet.entries, [&body](const auto& one) {
-            const auto print = routing::print_of({"org", "POST", "h", "/stream/1", body});
-            return one->is_dead || one->is_frozen || one->own.core->crashes.is_barred(print);
+            const auto fingerprint =
+                routing::fingerprint_of({"org", "POST", "h", "/stream/1", body});
+            return one->is_dead || one->is_frozen || one->own.core->crashes.is_barred(fingerprint);
         });
         if (is_known) {
             this->barred_at.try_emplace(body, this->now());
--- a/source/unit_tests/router/entry_fleet.hpp
+++ b/source/unit_tests/router/entry_fleet.hpp
@@ -57,7 +57,8 @@
     auto restart(std::size_t number) -> void;
 
     /// Writes a server's registration, with a leaving flag, or its end.
-    auto write(const std::string& server, bool is_leaving = false, std::uint64_t born = 0) -> void;
+    auto write(const std::string& server, bool is_leaving = false, std::uint64_t started_at = 0)
+        -> void;
     auto remove(const std::string& server) -> void;
 
     /// Restores the store from a copy without its newest `records`, whose positions are assigned
--- a/source/unit_tests/router/evacuation_test.cpp
+++ b/source/unit_tests/router/evacuation_test.cpp
@@ -206,7 +206,7 @@
     // A record that the server wrote before the evacuation was revoked says that it is warm.
     auto read = *servers.find(common::server_id{"a"});
     read.cold_until = {};
-    fixture.core->servers.take(read, fixture.now);
+    fixture.core->servers.apply_registration(read, fixture.now);
     CHECK(is_cold("a"));
     fixture.advance(milliseconds{3600});
     CHECK_FALSE(is_cold("a"));
--- a/source/unit_tests/router/followers_test.cpp
+++ b/source/unit_tests/router/followers_test.cpp
@@ -210,7 +210,7 @@
     const auto pass = [&fixture](milliseconds time) {
         for (milliseconds passed{0}; passed < time; passed += milliseconds{100}) {
             // Another entry read the list up to here 50 ms ago.
-            fixture.core->freshness.hear({3, milliseconds{50}}, fixture.now);
+            fixture.core->freshness.apply_report({3, milliseconds{50}}, fixture.now);
             fixture.advance(milliseconds{100});
         }
     };
@@ -245,10 +245,10 @@
     fixture.advance(milliseconds{500});
     CHECK(fixture.core->servers.find(common::server_id{"b"}) != nullptr);
     // A peer's reading from before the cut says nothing.
-    fixture.core->freshness.hear({3, seconds{4}, seconds{60}}, fixture.now);
+    fixture.core->freshness.apply_report({3, seconds{4}, seconds{60}}, fixture.now);
     fixture.advance(milliseconds{100});
     CHECK(fixture.core->servers.find(common::server_id{"b"}) != nullptr);
-    fixture.core->freshness.hear({3, milliseconds{300}, seconds{60}}, fixture.now);
+    fixture.core->freshness.apply_report({3, milliseconds{300}, seconds{60}}, fixture.now);
     fixture.advance(milliseconds{100});
     CHECK(fixture.core->servers.find(common::server_id{"b"}) == nullptr);
 }
@@ -263,11 +263,11 @@
     queued_store store;
     using change = routing::registration_change;
     follow_servers(fixture, store, {"a"});
-    fixture.core->freshness.hear({1, milliseconds{0}, seconds{60}}, fixture.now);
+    fixture.core->freshness.apply_report({1, milliseconds{0}, seconds{60}}, fixture.now);
     const auto read_by_peers = fixture.now;
     const auto peers_tell = [&fixture, read_by_peers] {
         const auto age = std::chrono::duration_cast<milliseconds>(fixture.now - read_by_peers);
-        fixture.core->freshness.hear({1, age, seconds{60}}, fixture.now);
+        fixture.core->freshness.apply_report({1, age, seconds{60}}, fixture.now);
     };
     for (milliseconds passed{0}; passed < seconds{5}; passed += milliseconds{100}) {
         peers_tell();
@@ -281,7 +281,7 @@
     queued_store::next_call(store.servers)
         .second(reading<change>({{common::server_id{"a"}, std::nullopt}}, 2, false));
     // A peer has reached the store again as well; its time without a gap begins now.
-    fixture.core->freshness.hear({2, milliseconds{50}, milliseconds{0}}, fixture.now);
+    fixture.core->freshness.apply_report({2, milliseconds{50}, milliseconds{0}}, fixture.now);
     fixture.advance(milliseconds{1500});
     CHECK(fixture.core->servers.find(common::server_id{"a"}) != nullptr);
     fixture.advance(seconds{1});
@@ -333,9 +333,9 @@
         return std::uint64_t{1'790'000'000'000};
     };
     follow_servers(fixture, store, {"a", "b"});
-    const auto started = [](const std::string& id, std::uint64_t born) {
+    const auto started = [](const std::string& id, std::uint64_t started_at) {
         auto one = make_registration_change(id);
-        one.now->born = routing::start_time{born};
+        one.now->started_at = routing::start_time{started_at};
         return one;
     };
     fixture.advance(milliseconds{1100});
@@ -353,10 +353,12 @@
         INFO(text);
         CHECK(text.find(std::string{"what=\""} + what + "\"") != std::string::npos);
     }
-    CHECK(fixture.core->servers.find(common::server_id{"a"})->born.value() == 1'789'000'000'000);
+    CHECK(
+        fixture.core->servers.find(common::server_id{"a"})->started_at.value() ==
+        1'789'000'000'000);
     CHECK(fixture.core->servers.find(common::server_id{"b"}) == nullptr);
-    CHECK(fixture.core->servers.find(common::server_id{"d"})->is_born_ahead);
-    CHECK_FALSE(fixture.core->servers.find(common::server_id{"e"})->is_born_ahead);
+    CHECK(fixture.core->servers.find(common::server_id{"d"})->starts_in_future);
+    CHECK_FALSE(fixture.core->servers.find(common::server_id{"e"})->starts_in_future);
     // The position moves past the bad record.
     fixture.advance(milliseconds{1100});
     CHECK(queued_store::next_call(store.servers).first == stream_position{7});
--- a/source/unit_tests/router/home_regions_test.cpp
+++ b/source/unit_tests/router/home_regions_test.cpp
@@ -13,7 +13,7 @@
     const auto move_server = [&fixture](const char* id, const char* data_centre) {
         auto server = *fixture.core->servers.find(common::server_id{id});
         server.data_centre = common::data_centre_id{data_centre};
-        fixture.core->servers.take(server, fixture.now);
+        fixture.core->servers.apply_registration(server, fixture.now);
     };
     move_server("a", "north-1");
     move_server("b", "south-1");
--- a/source/unit_tests/router/peer_group_test.cpp
+++ b/source/unit_tests/router/peer_group_test.cpp
@@ -71,7 +71,7 @@
     two.group.add(address_of(3));
     two.group.add(address_of(1));
     there.core->apply_rules(rules_of(9));
-    there.core->servers.retire(common::server_id{"b"});
+    there.core->servers.mark_leaving(common::server_id{"b"});
     two.group.send_reports();
     REQUIRE(two.sent.size() == 2);
     one.group.receive(two.sent.front().second);
@@ -102,7 +102,7 @@
     two.group.add(address_of(1));
     there.core->freshness.note_read(9, true, there.now);
     there.core->servers.lapse(common::server_id{"b"});
-    there.core->servers.end_lapsed(9, there.now);
+    there.core->servers.remove_lapsed(9, there.now);
     here.core->freshness.note_read(5, true, here.now);
     two.group.send_reports();
     one.group.receive(two.sent.front().second);
@@ -130,13 +130,13 @@
         one.group.add(address_of(number));
     }
     one.sent.clear();
-    fixture.core->rollouts.order(
+    fixture.core->rollouts.apply_order(
         {common::service_name{"engines"}, common::version_id{"v2"}, seconds{20}}, fixture.now);
     one.group.broadcast_urgent();
     REQUIRE(one.sent.size() == 1);
     CHECK(one.sent.front().first == address_of(2));
     neighbour.group.receive(one.sent.front().second);
-    CHECK(near.core->rollouts.orders_taken() == 1);
+    CHECK(near.core->rollouts.orders_applied() == 1);
     // The order is sent once; the sessions concerned are then reported to all.
     one.sent.clear();
     one.group.broadcast_urgent();
@@ -165,7 +165,7 @@
     const routing::route_name route{"again"};
     router_fixture here;
     recording_entry one{here, 1};
-    here.core->rollouts.order({engines, bad, seconds{20}}, here.now);
+    here.core->rollouts.apply_order({engines, bad, seconds{20}}, here.now);
     const auto is_barred = [&] {
         return here.core->rollouts.rule_for(engines, 0, here.now).bars(bad);
     };
@@ -179,7 +179,7 @@
         };
         recording_entry two{there, 2};
         two.group.add(address_of(1));
-        there.core->rollouts.order({engines, bad, seconds{20}}, there.now);
+        there.core->rollouts.apply_order({engines, bad, seconds{20}}, there.now);
         for (int i = 0; i < 60; ++i) {
             there.core->rollouts.note_outcome(engines, common::version_id{"v1"}, route, true);
         }
--- a/source/unit_tests/router/queued_store.hpp
+++ b/source/unit_tests/router/queued_store.hpp
@@ -117,7 +117,7 @@
 inline auto writer_of(router_fixture& fixture, queued_store& store, std::size_t rank)
     -> std::shared_ptr<rollout_writer>
 {
-    fixture.core->rollouts.order({engines, target, seconds{20}}, fixture.now);
+    fixture.core->rollouts.apply_order({engines, target, seconds{20}}, fixture.now);
     return std::make_shared<rollout_writer>(fixture.core, store.hooks(), [rank] { return rank; });
 }
 
--- a/source/unit_tests/router/relay_test.cpp
+++ b/source/unit_tests/router/relay_test.cpp
@@ -165,7 +165,7 @@
     // send as "not executed". That holds only for the second send: the first may have run.
     router_fixture fixture;
     for (const auto* id : {"b", "c"}) {
-        fixture.core->servers.retire(common::server_id{id});
+        fixture.core->servers.mark_leaving(common::server_id{id});
     }
     const auto restart = [&fixture] {
         fixture.add_server("a", "v1", 1000 + fixture.sends());
@@ -434,7 +434,7 @@
     CHECK(fixture.last().is_cancelled);
     fixture.advance(seconds{20});
     CHECK(fixture.sends() == 1);
-    CHECK(fixture.core->loads.tell().empty());
+    CHECK(fixture.core->loads.make_reports().empty());
 }
 
 TEST_CASE("at the time limit the caller gets a final response at once", "[relay]")
@@ -483,12 +483,13 @@
 {
     router_fixture fixture;
     for (const auto* id : {"a", "b", "c"}) {
-        fixture.core->servers.retire(common::server_id{id});
+        fixture.core->servers.mark_leaving(common::server_id{id});
     }
     fixture.add_server("new", "v2");
     const common::service_name engines{"engines"};
-    fixture.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, fixture.now);
-    fixture.core->rollouts.learn(
+    fixture.core->rollouts.apply_order(
+        {engines, common::version_id{"v2"}, seconds{20}}, fixture.now);
+    fixture.core->rollouts.apply_status(
         {engines, common::version_id{"v2"}, routing::rollout_state::reverted});
     const auto out = fixture.ask(once);
     CHECK(fixture.sends() == 0);
@@ -501,17 +502,18 @@
     // has been reverted, so the request must not be sent to it again.
     router_fixture fixture;
     for (const auto* id : {"a", "b", "c"}) {
-        fixture.core->servers.retire(common::server_id{id});
+        fixture.core->servers.mark_leaving(common::server_id{id});
     }
     fixture.add_server("new-1", "v2");
     fixture.add_server("new-2", "v2");
     const common::service_name engines{"engines"};
-    fixture.core->rollouts.order({engines, common::version_id{"v2"}, seconds{20}}, fixture.now);
-    fixture.core->rollouts.learn(
+    fixture.core->rollouts.apply_order(
+        {engines, common::version_id{"v2"}, seconds{20}}, fixture.now);
+    fixture.core->rollouts.apply_status(
         {engines, common::version_id{"v2"}, routing::rollout_state::complete});
     const auto out = fixture.ask(again);
     REQUIRE(fixture.sends() == 1);
-    fixture.core->rollouts.learn(
+    fixture.core->rollouts.apply_status(
         {engines, common::version_id{"v2"}, routing::rollout_state::reverted});
     fixture.last().lose(execution::unknown);
     CHECK(fixture.sends() == 1);
--- a/source/unit_tests/router/response_simulation.cpp
+++ b/source/unit_tests/router/response_simulation.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "../most_within.hpp"
+#include "../max_count_within.hpp"
 
 namespace reedramp::router::testing {
 
@@ -109,7 +109,7 @@
     });
 }
 
-auto response_simulation::most_within(
+auto response_simulation::max_count_within(
     const std::string& server,
     milliseconds window,
     common::time_point from,
@@ -121,7 +121,7 @@
             times.push_back(one.at);
         }
     }
-    return reedramp::testing::most_within(times, window);
+    return reedramp::testing::max_count_within(times, window);
 }
 
 auto response_simulation::arrivals_at(const std::string& server, common::time_point from) const
--- a/source/unit_tests/router/response_simulation.hpp
+++ b/source/unit_tests/router/response_simulation.hpp
@@ -64,7 +64,7 @@
 
     /// Maximum number of requests within any `window` that arrived at the server after `from`,
     /// among those for which `counts` is true.
-    [[nodiscard]] auto most_within(
+    [[nodiscard]] auto max_count_within(
         const std::string& server,
         milliseconds window,
         common::time_point from,
--- a/source/unit_tests/router/router_fixture.cpp
+++ b/source/unit_tests/router/router_fixture.cpp
@@ -16,7 +16,7 @@
     route.timeout = seconds{10};
     route.target = seconds{1};
     route.longest_pause = milliseconds{800};
-    route.most_attempts = attempts;
+    route.max_attempts = attempts;
     route.targets = {{common::service_name{"engines"}, 1}};
     return route;
 }
@@ -142,7 +142,7 @@
 }
 
 auto router_fixture::add_server(
-    const std::string& id, const std::string& version, std::uint64_t born) -> void
+    const std::string& id, const std::string& version, std::uint64_t started_at) -> void
 {
     const common::server_id name{id};
     routing::registration read{
@@ -153,7 +153,7 @@
         common::version_id{version},
         8,
         false};
-    read.born = routing::start_time{born};
+    read.started_at = routing::start_time{started_at};
     this->core->servers.apply({name, std::move(read)});
 }
 
--- a/source/unit_tests/router/stated_limits_test.cpp
+++ b/source/unit_tests/router/stated_limits_test.cpp
@@ -48,9 +48,10 @@
     const response_simulation& simulation, const std::string& server, common::time_point stated_at)
     -> std::size_t
 {
-    return simulation.most_within(server, window, stated_at + contact, [&](const arrival& one) {
-        return simulation.had_response(one, one.at - in_transit_time);
-    });
+    return simulation.max_count_within(
+        server, window, stated_at + contact, [&](const arrival& one) {
+            return simulation.had_response(one, one.at - in_transit_time);
+        });
 }
 
 } // namespace
@@ -66,7 +67,7 @@
         const auto stated_at = simulation.now();
         simulation.run(seconds{20});
         for (const auto& [server, limit] : limits) {
-            const auto most = simulation.most_within(server, window, stated_at + contact);
+            const auto most = simulation.max_count_within(server, window, stated_at + contact);
             std::cout << "METRIC limit_most_in_4s_" << entries << "_at_" << limit << " " << most
                       << " requests\n";
             INFO(entries << " entries, " << limit << " a second");
@@ -96,7 +97,8 @@
         for (const auto& [server, limit] : limits) {
             INFO(entries << " entries, " << server << ", " << limit << " a second");
             CHECK(
-                simulation.most_within(server, window, stated_at + contact) <= capacity_of(limit));
+                simulation.max_count_within(server, window, stated_at + contact) <=
+                capacity_of(limit));
             used += static_cast<double>(simulation.arrivals_at(server, stated_at + contact));
         }
         constexpr double taken_together = 21.0;
@@ -153,7 +155,8 @@
         for (const auto& [server, limit] : limits) {
             INFO(entries << " entries, " << limit << " a second");
             CHECK(
-                simulation.most_within(server, window, stated_at + contact) <= capacity_of(limit));
+                simulation.max_count_within(server, window, stated_at + contact) <=
+                capacity_of(limit));
         }
     }
 }
@@ -227,7 +230,9 @@
     response_simulation simulation{{.entries = 27, .servers = 4, .per_second = 200}};
     state_limits(simulation, {{"s-0", 2.0}});
     simulation.run(seconds{6});
-    CHECK(simulation.most_within("s-0", window, simulation.now() - seconds{4}) <= capacity_of(2.0));
+    CHECK(
+        simulation.max_count_within("s-0", window, simulation.now() - seconds{4}) <=
+        capacity_of(2.0));
     simulation.respond = {};
     simulation.run(seconds{4});
     const auto lifted = simulation.now();
--- a/source/unit_tests/router/store_era_test.cpp
+++ b/source/unit_tests/router/store_era_test.cpp
@@ -47,11 +47,11 @@
     fixture.core->note_era(stream_position::at(1, 0), "store");
     freshness.note_read(stream_position::at(1, 4).value(), true, fixture.now);
     const auto ended = freshness.outage_ended(fixture.now);
-    freshness.hear(
+    freshness.apply_report(
         {stream_position{900}.value(), milliseconds{10}, seconds{100}, 7, 1}, fixture.now);
     CHECK(!freshness.lacks_change());
     CHECK(freshness.outage_ended(fixture.now) == ended);
-    freshness.hear(
+    freshness.apply_report(
         {stream_position::at(1, 9).value(), milliseconds{10}, milliseconds{5}, 8, 1}, fixture.now);
     CHECK(freshness.lacks_change());
     // An earlier era does not return.
@@ -69,7 +69,7 @@
     router_fixture fixture;
     queued_store store;
     const auto writer = writer_of(fixture, store, 0);
-    fixture.core->rollouts.learn({engines, target, routing::rollout_state::reverted});
+    fixture.core->rollouts.apply_status({engines, target, routing::rollout_state::reverted});
     writer->tick();
     CHECK(store.outcomes.empty());
     fixture.core->note_era(stream_position::at(0, 5), "store");
@@ -97,7 +97,7 @@
     const auto target_of = [&fixture] {
         return fixture.core->rollouts.states(fixture.now).front().status.target.value();
     };
-    fixture.core->rollouts.order(second, fixture.now);
+    fixture.core->rollouts.apply_order(second, fixture.now);
     const auto read = [&](std::vector<rules_document> documents, stream_position end, bool whole) {
         stream_reading<rules_document> one{std::move(documents), end, whole};
         queued_store::next_call(store.rules).second(std::move(one));
