--- a/source/standin/answer.cpp
+++ b/source/standin/answer.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::string_view length_marker = "tokens=";
-constexpr std::uint64_t longest_answer = 100'000'000;
-constexpr std::uint64_t shortest_default = 16;
-constexpr std::uint64_t default_spread = 48;
-constexpr int hexadecimal = 16;
+constexpr std::uint64_t max_answer_tokens = 100'000'000;
+constexpr std::uint64_t default_min_tokens = 16;
+constexpr std::uint64_t default_token_range = 48;
+constexpr int hexadecimal_base = 16;
 
 auto parse_number(std::string_view digits, int base) -> std::optional<std::uint64_t>
 {
@@ -28,7 +28,7 @@
     return number;
 }
 
-/// Takes the first word off `text`.
+/// Removes the first word from `text` and returns it; empty at the end.
 auto next_word(std::string_view& text) -> std::string_view
 {
     const auto begin = text.find_first_not_of(' ');
@@ -42,22 +42,22 @@
     return word;
 }
 
-/// Reads "t0@version/hash".
-auto read_first(std::string_view word) -> std::optional<answer_reading>
+/// Parses the first token, "t0@<version>/<hash>" or "x0@...".
+auto parse_first_token(std::string_view word) -> std::optional<answer_reading>
 {
     const auto at = word.find('@');
     const auto slash = word.rfind('/');
     if (at == std::string_view::npos || slash == std::string_view::npos || slash < at) {
         return std::nullopt;
     }
-    const auto mark = word.substr(0, at);
-    const auto hash = parse_number(word.substr(slash + 1), hexadecimal);
-    if ((mark != "t0" && mark != "x0") || !hash) {
+    const auto marker = word.substr(0, at);
+    const auto hash = parse_number(word.substr(slash + 1), hexadecimal_base);
+    if ((marker != "t0" && marker != "x0") || !hash) {
         return std::nullopt;
     }
     answer_reading reading;
     reading.in_order = true;
-    reading.bad = mark == "x0";
+    reading.bad = marker == "x0";
     reading.tokens = 1;
     reading.version = word.substr(at + 1, slash - at - 1);
     reading.prompt_hash = static_cast<std::uint32_t>(*hash);
@@ -79,24 +79,24 @@
         std::uint64_t number = 0;
         const auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), number);
         if (parsed.ec == std::errc{}) {
-            return std::min(number, longest_answer);
+            return std::min(number, max_answer_tokens);
         }
     }
-    return shortest_default + hash_prompt(prompt) % default_spread;
+    return default_min_tokens + hash_prompt(prompt) % default_token_range;
 }
 
 auto append_token(std::string& to, const answer_plan& plan, std::uint64_t index) -> void
 {
-    constexpr std::size_t longest_number = 20;
-    std::array<char, longest_number> digits{};
+    constexpr std::size_t max_decimal_digits = 20;
+    std::array<char, max_decimal_digits> digits{};
     const auto written = std::to_chars(digits.data(), digits.data() + digits.size(), index);
     to += plan.bad ? " x" : " t";
     to.append(digits.data(), written.ptr);
     if (index != 0) {
         return;
     }
-    const auto hash =
-        std::to_chars(digits.data(), digits.data() + digits.size(), plan.prompt_hash, hexadecimal);
+    const auto hash = std::to_chars(
+        digits.data(), digits.data() + digits.size(), plan.prompt_hash, hexadecimal_base);
     to += '@';
     to += plan.version;
     to += '/';
@@ -105,7 +105,7 @@
 
 auto read_answer(std::string_view text) -> std::optional<answer_reading>
 {
-    auto reading = read_first(next_word(text));
+    auto reading = parse_first_token(next_word(text));
     if (!reading) {
         return std::nullopt;
     }
--- a/source/standin/answer.hpp
+++ b/source/standin/answer.hpp
@@ -5,13 +5,13 @@
 #include <string>
 #include <string_view>
 
-/// The answers of the stand-in engine. They are a function of version and prompt, so that a test or
-/// the load tool can tell a whole answer to its own request from one that is cut, doubled, out of
-/// order or someone else's.
+/// Deterministic answers of the stand-in engine. They depend only on the version and the prompt, so
+/// that a test or the load tool can distinguish a complete answer to its own request from one that
+/// is truncated, duplicated, out of order or meant for another request.
 namespace reedramp::standin {
 
-/// What an engine is going to say. Its tokens are " t0@<version>/<prompt hash>", " t1", " t2" and
-/// so on; those of an engine that has turned bad start with "x" in place of "t".
+/// Contents of an answer. Its tokens are " t0@<version>/<prompt hash>", " t1", " t2" and so on; the
+/// tokens of an engine with the `bad` fault start with "x" instead of "t".
 struct answer_plan {
     std::string version;
     std::uint32_t prompt_hash = 0;
@@ -19,26 +19,29 @@
     bool bad = false;
 };
 
-/// Hash of the texts of all messages that are not the assistant's, each followed by a newline.
+/// Hashes a prompt: the texts of all messages except the assistant's, each followed by a newline.
 auto hash_prompt(std::string_view prompt) -> std::uint32_t;
 
-/// How many tokens the whole answer has: N if the prompt says "tokens=N", else 16 to 63 by its
-/// hash.
+/// Returns the number of tokens of the complete answer: N if the prompt contains "tokens=N",
+/// otherwise 16 to 63, derived from the prompt's hash.
 auto answer_length(std::string_view prompt) -> std::uint64_t;
 
+/// Appends token `index` of an answer to `to`.
 auto append_token(std::string& to, const answer_plan& plan, std::uint64_t index) -> void;
 
-/// What the text of an answer shows.
+/// Result of parsing the text of an answer.
 struct answer_reading {
-    /// Tokens 0, 1, 2, ... are each there once, in order.
+    /// Whether tokens 0, 1, 2, ... each occur exactly once and in order.
     bool in_order = false;
+    /// Whether any token comes from an engine with the `bad` fault.
     bool bad = false;
     std::uint64_t tokens = 0;
     std::string version;
     std::uint32_t prompt_hash = 0;
 };
 
-/// Reads the text of an answer; nothing if its first token is not one of an engine.
+/// Parses the text of an answer. Returns nullopt if the first token isn't the first token of a
+/// stand-in engine.
 auto read_answer(std::string_view text) -> std::optional<answer_reading>;
 
 } // namespace reedramp::standin
--- a/source/standin/chat.cpp
+++ b/source/standin/chat.cpp
@@ -22,11 +22,11 @@
     return words;
 }
 
-/// The text of a message; its content is a text or a list of parts with texts.
-auto text_of(const boost::json::object& message) -> std::string
+/// Returns the text of a message, whose content is a string or a list of parts with texts.
+auto message_text(const boost::json::object& message) -> std::string
 {
-    if (const auto whole = platform::string_field(message, "content")) {
-        return *whole;
+    if (const auto content = platform::string_field(message, "content")) {
+        return *content;
     }
     std::string joined;
     const auto* parts = platform::array_field(message, "content");
@@ -41,7 +41,7 @@
     return joined;
 }
 
-auto read_messages(const boost::json::array& messages, chat_request& into) -> void
+auto read_messages(const boost::json::array& messages, chat_request& request) -> void
 {
     prompt_prefix prefix;
     for (const auto& item : messages) {
@@ -49,17 +49,17 @@
         if (message == nullptr) {
             continue;
         }
-        const auto text = text_of(*message);
+        const auto text = message_text(*message);
         const auto is_assistant = platform::string_field(*message, "role") == "assistant";
         const auto words = count_words(text);
-        into.continued_tokens = is_assistant ? words : 0;
+        request.continued_tokens = is_assistant ? words : 0;
         if (!is_assistant) {
-            into.prompt += text;
-            into.prompt += '\n';
+            request.prompt += text;
+            request.prompt += '\n';
         }
         prefix.hash = XXH64(text.data(), text.size(), prefix.hash);
         prefix.tokens += words;
-        into.prefixes.push_back(prefix);
+        request.prefixes.push_back(prefix);
     }
 }
 
@@ -68,9 +68,9 @@
     return answer.cut_by_limit ? "length" : "stop";
 }
 
-auto usage_of(const chat_writer& answer) -> boost::json::object
+auto make_usage(const chat_writer& answer) -> boost::json::object
 {
-    const auto completion = answer.plan.tokens - answer.first;
+    const auto completion = answer.plan.tokens - answer.first_token;
     return {
         {"prompt_tokens", answer.prompt_tokens},
         {"completion_tokens", completion},
@@ -78,7 +78,7 @@
     };
 }
 
-auto answer_id(const chat_writer& answer) -> std::string
+auto response_id(const chat_writer& answer) -> std::string
 {
     return "chatcmpl-" + std::to_string(answer.id);
 }
@@ -110,10 +110,10 @@
     return request;
 }
 
-auto chat_writer::whole() const -> std::string
+auto chat_writer::format_response() const -> std::string
 {
     std::string text;
-    for (auto index = this->first; index < this->plan.tokens; ++index) {
+    for (auto index = this->first_token; index < this->plan.tokens; ++index) {
         append_token(text, this->plan, index);
     }
     const boost::json::object choice{
@@ -122,11 +122,11 @@
         {"finish_reason", finish_reason(*this)},
     };
     const boost::json::object answer{
-        {"id", answer_id(*this)},
+        {"id", response_id(*this)},
         {"object", "chat.completion"},
         {"model", this->plan.version},
         {"choices", boost::json::array{choice}},
-        {"usage", usage_of(*this)},
+        {"usage", make_usage(*this)},
     };
     return boost::json::serialize(answer);
 }
@@ -134,9 +134,10 @@
 auto chat_writer::append_events(std::string& to, std::uint64_t begin, std::uint64_t end) const
     -> void
 {
-    // Built by hand: a JSON serialiser for each token would cost more than the rest of the engine.
-    // The settings and the orders let no version with quotes or backslashes in.
-    const auto head = R"(data: {"id":")" + answer_id(*this) +
+    // Formatted by hand, because a JSON serialiser per token would cost more than the rest of the
+    // engine. No escaping is needed: settings and orders reject versions with quotes or
+    // backslashes.
+    const auto head = R"(data: {"id":")" + response_id(*this) +
                       R"(","object":"chat.completion.chunk","model":")" + this->plan.version +
                       R"(","choices":[{"index":0,"delta":{"content":")";
     constexpr std::string_view tail = "\"},\"finish_reason\":null}]}\n\n";
@@ -147,7 +148,7 @@
     }
 }
 
-auto chat_writer::ending() const -> std::string
+auto chat_writer::format_final_events() const -> std::string
 {
     const boost::json::object choice{
         {"index", 0},
@@ -155,11 +156,11 @@
         {"finish_reason", finish_reason(*this)},
     };
     const boost::json::object last{
-        {"id", answer_id(*this)},
+        {"id", response_id(*this)},
         {"object", "chat.completion.chunk"},
         {"model", this->plan.version},
         {"choices", boost::json::array{choice}},
-        {"usage", usage_of(*this)},
+        {"usage", make_usage(*this)},
     };
     return "data: " + boost::json::serialize(last) + "\n\ndata: [DONE]\n\n";
 }
--- a/source/standin/engine_model.hpp
+++ b/source/standin/engine_model.hpp
@@ -11,9 +11,9 @@
 
 #include "common/units.hpp"
 
-/// The time behaviour of a model engine with continuous batching, without I/O: `slots` requests run
-/// at a time, each first reads its prompt (prefill) and then makes a token each so many
-/// microseconds; others wait by priority.
+/// Timing model of a model engine with continuous batching, without I/O. Up to `slots` requests run
+/// concurrently; each first processes its prompt (prefill) and then generates tokens at a fixed
+/// interval (decode). Other requests wait in a priority queue.
 namespace reedramp::standin {
 
 struct engine_speed {
@@ -25,74 +25,79 @@
 
 struct engine_job {
     std::uint64_t id = 0;
-    /// Larger is served first.
+    /// Jobs with a larger value start first.
     std::int64_t priority = 0;
-    /// Prompt tokens that no cache spares.
+    /// Prompt tokens that are not in the prefix cache.
     std::uint64_t prefill_tokens = 0;
-    /// Tokens that are to be made.
+    /// Number of tokens to generate.
     std::uint64_t tokens = 0;
-    /// Whether progress is told token by token, or only the end.
+    /// Whether progress is reported as tokens are generated, or only at the end.
     bool stream = false;
-    /// Time before the prefill, by a fault.
+    /// Additional delay before the prefill, caused by a fault.
     common::duration extra{};
 };
 
-/// How far one job is.
+/// Progress of one job: the tokens that it has generated, and whether it has finished.
 struct engine_progress {
     std::uint64_t id = 0;
     std::uint64_t tokens = 0;
     bool finished = false;
 };
 
+/// Tracks the running and queued jobs; the caller supplies the current time. Not thread-safe.
 class engine_model {
 public:
-    explicit engine_model(engine_speed given) : speed(given) {}
+    explicit engine_model(engine_speed initial_speed) : speed(initial_speed) {}
 
-    /// False if the queue is full.
+    /// Starts or queues a job. Returns false if the queue is full.
     auto submit(const engine_job& job, common::time_point now) -> bool;
+    /// Removes a running or queued job, and starts queued jobs in the freed slot.
     auto cancel(std::uint64_t id, common::time_point now) -> void;
 
-    /// What has become of the running jobs by `now`; starts waiting ones in freed slots.
+    /// Returns the progress of the running jobs that are due by `now`, removes finished jobs and
+    /// starts queued ones in the freed slots.
     auto advance(common::time_point now) -> std::vector<engine_progress>;
 
-    /// When to call `advance` next; nothing while no job runs.
+    /// Returns when to call `advance` next, or nullopt while no job runs.
     [[nodiscard]] auto next_due() const -> std::optional<common::time_point>;
 
     [[nodiscard]] auto running_count() const -> std::size_t { return this->running.size(); }
 
     [[nodiscard]] auto queued_count() const -> std::size_t { return this->queue.size(); }
 
-    /// Roughly how long a new job would wait for a slot.
+    /// Returns an estimate of how long a new job would wait for a slot.
     [[nodiscard]] auto estimated_wait(common::time_point now) const -> common::duration;
 
 private:
-    struct run {
+    struct active_job {
         engine_job job;
         common::time_point first_token_at{};
         common::time_point finish_at{};
-        /// When its progress is to be told next.
-        common::time_point due{};
+        /// When the job's progress is to be reported next.
+        common::time_point next_progress_at{};
     };
 
-    /// Jobs with the larger priority first, then the older ones.
+    /// Negated priority and job id: sorts by descending priority, then by age.
     using queue_key = std::pair<std::int64_t, std::uint64_t>;
 
     auto start(const engine_job& job, common::time_point now) -> void;
     auto fill_slots(common::time_point now) -> void;
-    [[nodiscard]] auto time_of(const engine_job& job) const -> common::duration;
-    [[nodiscard]] auto tokens_at(const run& which, common::time_point now) const -> std::uint64_t;
+    [[nodiscard]] auto estimate_duration(const engine_job& job) const -> common::duration;
+    [[nodiscard]] auto tokens_generated_by(const active_job& entry, common::time_point now) const
+        -> std::uint64_t;
 
     engine_speed speed;
-    std::vector<run> running;
+    std::vector<active_job> running;
     std::map<queue_key, engine_job> queue;
 };
 
-/// Which message prefixes the engine holds; bounded, the least recently used goes first.
+/// LRU cache of the message prefixes that the engine has processed.
 class prefix_cache {
 public:
     explicit prefix_cache(std::size_t entry_limit) : limit(entry_limit) {}
 
-    /// Notes the use of a prefix and tells whether it was held.
+    /// Looks up a prefix and adds it if it is missing; makes it the most recently used. Returns
+    /// whether it was cached. Does not count hits.
     auto use(std::uint64_t prefix_hash) -> bool;
 
     [[nodiscard]] auto hits() const -> std::uint64_t { return this->hit_count; }
@@ -104,7 +109,7 @@
     std::uint64_t hit_count = 0;
     /// Most recently used first.
     std::list<std::uint64_t> order;
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> places;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> positions;
 };
 
 } // namespace reedramp::standin
--- a/source/standin/faults.cpp
+++ b/source/standin/faults.cpp
@@ -14,12 +14,12 @@
     std::uint32_t faults::*member;
 };
 
-struct switch_fault {
+struct flag_fault {
     std::string_view name;
     bool faults::*member;
 };
 
-constexpr auto numbers = std::to_array<number_fault>({
+constexpr auto number_faults = std::to_array<number_fault>({
     {"slow_ms", &faults::slow_ms},
     {"lose_answer_every", &faults::lose_answer_every},
     {"lose_append_every", &faults::lose_append_every},
@@ -30,27 +30,28 @@
     {"error_rate_permille", &faults::error_rate_permille},
 });
 
-constexpr auto switches = std::to_array<switch_fault>({
+constexpr auto flag_faults = std::to_array<flag_fault>({
     {"down", &faults::down},
     {"bad", &faults::bad},
 });
 
-auto apply_one(const boost::json::object& fields, std::string_view name, faults& wanted) -> bool
+/// Applies the field `name`. Returns false if it is unknown or has the wrong type.
+auto apply_field(const boost::json::object& fields, std::string_view name, faults& updated) -> bool
 {
-    for (const auto& known : numbers) {
+    for (const auto& known : number_faults) {
         if (known.name != name) {
             continue;
         }
         const auto number = platform::count_field(fields, name);
-        wanted.*known.member = static_cast<std::uint32_t>(number.value_or(0));
+        updated.*known.member = static_cast<std::uint32_t>(number.value_or(0));
         return number.has_value();
     }
-    for (const auto& known : switches) {
+    for (const auto& known : flag_faults) {
         if (known.name != name) {
             continue;
         }
         const auto is_on = platform::bool_field(fields, name);
-        wanted.*known.member = is_on.value_or(false);
+        updated.*known.member = is_on.value_or(false);
         return is_on.has_value();
     }
     return false;
@@ -64,24 +65,24 @@
     if (!fields) {
         return common::failure(common::result_code::malformed_json, "not a JSON object");
     }
-    auto wanted = current;
+    auto updated = current;
     for (const auto& field : *fields) {
         const std::string name(field.key());
-        if (!apply_one(*fields, name, wanted)) {
+        if (!apply_field(*fields, name, updated)) {
             return common::failure(common::result_code::malformed_json, "bad field " + name);
         }
     }
-    current = wanted;
+    current = updated;
     return {};
 }
 
 auto format_faults(const faults& current) -> std::string
 {
     boost::json::object fields;
-    for (const auto& known : numbers) {
+    for (const auto& known : number_faults) {
         fields[{known.name.data(), known.name.size()}] = current.*known.member;
     }
-    for (const auto& known : switches) {
+    for (const auto& known : flag_faults) {
         fields[{known.name.data(), known.name.size()}] = current.*known.member;
     }
     return boost::json::serialize(fields);
--- a/source/standin/faults.hpp
+++ b/source/standin/faults.hpp
@@ -8,35 +8,38 @@
 
 namespace reedramp::standin {
 
-/// The faults of one part, as `POST /faults` sets them. A field that is not given keeps its value;
-/// zero or false switches a fault off. A part leaves out what makes no sense for it.
+/// Injected faults of one part, set by `POST /faults`. Omitted fields keep their values; zero or
+/// false disables a fault. A part ignores faults that do not apply to it.
 struct faults {
-    /// Platform services answer 503; engines and plain services close connections.
+    /// The part is unavailable: platform services respond with 503, engines and plain services
+    /// close connections.
     bool down = false;
-    /// Each answer comes so much later.
+    /// Delay added to each response.
     std::uint32_t slow_ms = 0;
-    /// Of each so many calls the last takes effect, and its connection is closed without answer.
+    /// Every n-th call takes effect, but its connection is closed without a response.
     std::uint32_t lose_answer_every = 0;
-    /// Of each so many appends the last takes no effect, and its connection is closed (log).
+    /// Every n-th append has no effect, and its connection is closed (log).
     std::uint32_t lose_append_every = 0;
-    /// More appends than this within a second are refused with 429 (log).
+    /// Appends above this rate are rejected with 429 (log).
     std::uint32_t appends_per_second = 0;
-    /// Only the newest so many records of a stream are kept (log).
+    /// Number of newest records that each stream keeps (log).
     std::uint32_t kept_records = 0;
-    /// A change shows so much later (list of hosts).
+    /// Delay until a change becomes visible (host list).
     std::uint32_t stale_hosts_ms = 0;
-    /// Answers are wrong, and the rating service rates them low (engine).
+    /// Answers are wrong, and the rating service gives them low scores (engine).
     bool bad = false;
-    /// A stream's connection is closed after so many tokens (engine).
+    /// Connections of answers longer than this are closed: of a streamed answer after this number
+    /// of tokens, otherwise without a response (engine).
     std::uint32_t cut_after_tokens = 0;
-    /// So many of a thousand calls are answered with 500 and have no effect.
+    /// Share of calls that fail with 500 and have no effect.
     std::uint32_t error_rate_permille = 0;
 };
 
 /// Applies the fields in `json` to `current`. Errors: `malformed_json`, also for an unknown field;
-/// then nothing has changed.
+/// `current` is then unchanged.
 auto apply_faults(std::string_view json, faults& current) -> common::result<void>;
 
+/// Formats all faults as a JSON object.
 auto format_faults(const faults& current) -> std::string;
 
 } // namespace reedramp::standin
--- a/source/standin/hosts_part.cpp
+++ b/source/standin/hosts_part.cpp
@@ -13,14 +13,16 @@
 constexpr std::uint16_t status_bad_request = 400;
 constexpr std::uint16_t status_not_found = 404;
 constexpr std::string_view list_path = "/hosts";
-constexpr std::string_view row_prefix = "/hosts/";
+constexpr std::string_view host_path_prefix = "/hosts/";
 
+/// Host list service over `platform::fake_hosts`.
 struct hosts_part {
-    hosts_part(part_server& given_server, const hosts_settings& wanted)
-        : server(given_server), hosts(given_server.tools().clock, given_server.tools().timers),
-          lag_ms(wanted.lag_ms)
+    hosts_part(part_server& given_server, const hosts_settings& config)
+        : server(given_server),
+          hosts(given_server.environment().clock, given_server.environment().timers),
+          lag_ms(config.lag_ms)
     {
-        for (const auto& entry : wanted.initial) {
+        for (const auto& entry : config.initial) {
             this->hosts.put(entry);
         }
         this->apply({});
@@ -32,41 +34,44 @@
         this->hosts.set_lag(std::chrono::milliseconds(lag));
     }
 
-    auto serve(const http::request& asked, const responder_pointer& out) -> void
+    auto serve(const http::request& request, const responder_pointer& responder) -> void
     {
-        const auto path = path_of(asked.target);
-        if (path == list_path && asked.method == "GET") {
-            this->reply(out, platform::format_hosts(this->hosts.visible()));
+        const auto path = strip_query(request.target);
+        if (path == list_path && request.method == "GET") {
+            this->reply(responder, platform::format_hosts(this->hosts.visible()));
             return;
         }
-        if (!path.starts_with(row_prefix)) {
-            out->send(error_response(status_not_found, "no such path"));
+        if (!path.starts_with(host_path_prefix)) {
+            responder->send(error_response(status_not_found, "no such path"));
             return;
         }
-        const common::host_id host{std::string(path.substr(row_prefix.size()))};
-        if (asked.method == "DELETE") {
+        const common::host_id host{std::string(path.substr(host_path_prefix.size()))};
+        if (request.method == "DELETE") {
             this->hosts.remove(host);
-            this->reply(out, "{}");
+            this->reply(responder, "{}");
             return;
         }
-        this->put(host, asked, out);
+        this->put(host, request, responder);
     }
 
-    auto put(const common::host_id& host, const http::request& asked, const responder_pointer& out)
-        -> void
+    auto
+    put(const common::host_id& host,
+        const http::request& request,
+        const responder_pointer& responder) -> void
     {
-        auto entry = platform::parse_host(asked.body);
-        if (asked.method != "PUT" || !entry || entry->host != host) {
-            out->send(error_response(status_bad_request, "needs PUT with a row of this host"));
+        auto entry = platform::parse_host(request.body);
+        if (request.method != "PUT" || !entry || entry->host != host) {
+            responder->send(
+                error_response(status_bad_request, "needs PUT with a row of this host"));
             return;
         }
         this->hosts.put(std::move(*entry));
-        this->reply(out, "{}");
+        this->reply(responder, "{}");
     }
 
-    auto reply(const responder_pointer& out, std::string body) -> void
+    auto reply(const responder_pointer& responder, std::string body) -> void
     {
-        this->server.reply(out, json_response(status_ok, std::move(body)));
+        this->server.reply(responder, json_response(status_ok, std::move(body)));
     }
 
     part_server& server;
@@ -76,15 +81,16 @@
 
 } // namespace
 
-auto open_hosts(const part_tools& tools, const std::string& address, const hosts_settings& wanted)
-    -> opened_part
+auto open_hosts(
+    const part_environment& environment, const std::string& address, const hosts_settings& config)
+    -> part_result
 {
-    part_description about{"hosts", "hosts", {address, wanted.port}};
-    auto server = std::make_unique<part_server>(std::move(about), tools);
-    const auto part = std::make_shared<hosts_part>(*server, wanted);
+    part_description description{"hosts", "hosts", {address, config.port}};
+    auto server = std::make_unique<part_server>(std::move(description), environment);
+    const auto part = std::make_shared<hosts_part>(*server, config);
     part_server::hooks hooks;
-    hooks.serve = [part](const http::request& asked, const responder_pointer& out) {
-        part->serve(asked, out);
+    hooks.serve = [part](const http::request& request, const responder_pointer& responder) {
+        part->serve(request, responder);
     };
     hooks.faults_changed = [part](const faults& current) {
         part->apply(current);
--- a/source/standin/object_reader.cpp
+++ b/source/standin/object_reader.cpp
@@ -7,55 +7,56 @@
 object_reader::object_reader(
     const boost::json::object& object,
     std::string object_path,
-    std::vector<settings::problem>& found)
-    : source(object), path(std::move(object_path)), problems(found)
+    std::vector<settings::problem>& problem_list)
+    : source(object), path(std::move(object_path)), problems(problem_list)
 {
 }
 
-auto object_reader::text(std::string_view key, std::string& into) -> void
+auto object_reader::text(std::string_view key, std::string& result) -> void
 {
     const auto* value = this->find(key);
     if (value == nullptr) {
         return;
     }
     if (!value->is_string()) {
-        this->problem(key, "has to be a text");
+        this->problem(key, "must be a string");
         return;
     }
-    const auto& given = value->get_string();
-    into.assign(given.data(), given.size());
+    const auto& parsed = value->get_string();
+    result.assign(parsed.data(), parsed.size());
 }
 
-auto object_reader::flag(std::string_view key, bool& into) -> void
+auto object_reader::flag(std::string_view key, bool& result) -> void
 {
     const auto* value = this->find(key);
     if (value == nullptr) {
         return;
     }
     if (!value->is_bool()) {
-        this->problem(key, "has to be true or false");
+        this->problem(key, "must be true or false");
         return;
     }
-    into = value->get_bool();
+    result = value->get_bool();
 }
 
-auto object_reader::real(std::string_view key, double& into, double lowest, double highest) -> void
+auto object_reader::real(std::string_view key, double& result, double lowest, double highest)
+    -> void
 {
     const auto* value = this->find(key);
     if (value == nullptr) {
         return;
     }
-    const auto given = value->is_number() ? value->to_number<double>() : lowest - 1;
-    if (given < lowest || given > highest) {
+    const auto parsed = value->is_number() ? value->to_number<double>() : lowest - 1;
+    if (parsed < lowest || parsed > highest) {
         this->problem(
             key,
-            "has to be a number from " + std::to_string(lowest) + " to " + std::to_string(highest));
+            "must be a number from " + std::to_string(lowest) + " to " + std::to_string(highest));
         return;
     }
-    into = given;
+    result = parsed;
 }
 
-auto object_reader::texts(std::string_view key, std::vector<std::string>& into) -> void
+auto object_reader::texts(std::string_view key, std::vector<std::string>& result) -> void
 {
     const auto* value = this->find(key);
     if (value == nullptr) {
@@ -63,16 +64,16 @@
     }
     const auto* items = value->if_array();
     if (items == nullptr) {
-        this->problem(key, "has to be a list of texts");
+        this->problem(key, "must be a list of strings");
         return;
     }
-    into.clear();
+    result.clear();
     for (const auto& item : *items) {
         if (!item.is_string()) {
-            this->problem(key, "has to be a list of texts");
+            this->problem(key, "must be a list of strings");
             return;
         }
-        into.emplace_back(item.get_string().data(), item.get_string().size());
+        result.emplace_back(item.get_string().data(), item.get_string().size());
     }
 }
 
@@ -92,7 +93,7 @@
     }
     const auto* items = value->if_array();
     if (items == nullptr) {
-        this->problem(key, "has to be a list of objects");
+        this->problem(key, "must be a list of objects");
         return;
     }
     std::size_t index = 0;
@@ -114,7 +115,7 @@
     }
     const auto* fields = value->if_object();
     if (fields == nullptr) {
-        this->problem(key, "has to be an object");
+        this->problem(key, "must be an object");
         return;
     }
     for (const auto& field : *fields) {
@@ -131,35 +132,35 @@
 {
     for (const auto& field : this->source) {
         const std::string key(field.key());
-        if (!this->asked.contains(key)) {
-            this->problem(key, "is not known");
+        if (!this->requested_keys.contains(key)) {
+            this->problem(key, "is unknown");
         }
     }
 }
 
 auto object_reader::find(std::string_view key) -> const boost::json::value*
 {
-    this->asked.emplace(key);
+    this->requested_keys.emplace(key);
     return this->source.if_contains({key.data(), key.size()});
 }
 
 auto object_reader::read_number(
-    std::string_view key, std::uint64_t& into, std::uint64_t lowest, std::uint64_t highest) -> bool
+    std::string_view key, std::uint64_t& result, std::uint64_t lowest, std::uint64_t highest)
+    -> bool
 {
     const auto* value = this->find(key);
     if (value == nullptr) {
         return false;
     }
-    boost::system::error_code failed;
-    const auto given = value->to_number<std::uint64_t>(failed);
-    if (failed || given < lowest || given > highest) {
+    boost::system::error_code error;
+    const auto parsed = value->to_number<std::uint64_t>(error);
+    if (error || parsed < lowest || parsed > highest) {
         this->problem(
             key,
-            "has to be a whole number from " + std::to_string(lowest) + " to " +
-                std::to_string(highest));
+            "must be an integer from " + std::to_string(lowest) + " to " + std::to_string(highest));
         return false;
     }
-    into = given;
+    result = parsed;
     return true;
 }
 
@@ -168,7 +169,7 @@
 {
     const auto* fields = item.if_object();
     if (fields == nullptr) {
-        this->problems.push_back({item_path, "has to be an object"});
+        this->problems.push_back({item_path, "must be an object"});
         return;
     }
     object_reader inner(*fields, item_path, this->problems);
--- a/source/standin/object_reader.hpp
+++ b/source/standin/object_reader.hpp
@@ -13,54 +13,56 @@
 
 namespace reedramp::standin {
 
-/// Reads one object of nested settings and notes all problems with their JSON path: a value of
-/// another type, a number out of range, and, by `finish`, keys that nothing asked for. An absent
-/// key leaves the default. The flat schema of library `settings` has no lists of objects.
+/// Reads one JSON object of nested settings and collects all problems with their JSON paths: values
+/// of the wrong type, numbers out of range and, in `finish`, unknown keys. A missing key leaves the
+/// default. Used because the flat schema of the `settings` library has no lists of objects.
 class object_reader {
 public:
     object_reader(
         const boost::json::object& object,
         std::string object_path,
-        std::vector<settings::problem>& found);
+        std::vector<settings::problem>& problem_list);
 
-    auto text(std::string_view key, std::string& into) -> void;
-    auto flag(std::string_view key, bool& into) -> void;
-    auto real(std::string_view key, double& into, double lowest, double highest) -> void;
-    auto texts(std::string_view key, std::vector<std::string>& into) -> void;
+    auto text(std::string_view key, std::string& result) -> void;
+    auto flag(std::string_view key, bool& result) -> void;
+    auto real(std::string_view key, double& result, double lowest, double highest) -> void;
+    auto texts(std::string_view key, std::vector<std::string>& result) -> void;
 
     template <typename Number>
-    auto number(std::string_view key, Number& into, std::uint64_t lowest, std::uint64_t highest)
+    auto number(std::string_view key, Number& result, std::uint64_t lowest, std::uint64_t highest)
         -> void
     {
-        std::uint64_t given = into;
-        if (this->read_number(key, given, lowest, highest)) {
-            into = static_cast<Number>(given);
+        std::uint64_t parsed = result;
+        if (this->read_number(key, parsed, lowest, highest)) {
+            result = static_cast<Number>(parsed);
         }
     }
 
     using read_hook = std::function<auto(object_reader& inner)->void>;
 
-    /// Reads an object if there is one; `finish` is called for it.
+    /// Calls `read` with a reader of the object at `key`, if there is one, and then `finish` on
+    /// that reader.
     auto object(std::string_view key, const read_hook& read) -> void;
 
-    /// Reads each object of a list.
+    /// Does the same for each object of the list at `key`.
     auto objects(std::string_view key, const read_hook& read) -> void;
 
-    /// Reads an object with keys of any name.
+    /// Calls `read` for each member of the object at `key`; the members may have any name.
     auto each(
         std::string_view key,
         const std::function<auto(std::string_view name, const boost::json::value& item)->void>&
             read) -> void;
 
+    /// Adds a problem at `key` of this object.
     auto problem(std::string_view key, std::string message) -> void;
 
-    /// Notes the keys that were not asked for.
+    /// Adds a problem for each key of the object that no call has read.
     auto finish() -> void;
 
 private:
     auto find(std::string_view key) -> const boost::json::value*;
     auto read_number(
-        std::string_view key, std::uint64_t& into, std::uint64_t lowest, std::uint64_t highest)
+        std::string_view key, std::uint64_t& result, std::uint64_t lowest, std::uint64_t highest)
         -> bool;
     auto
     read_inner(const boost::json::value& item, const std::string& item_path, const read_hook& read)
@@ -69,7 +71,7 @@
     const boost::json::object& source;
     std::string path;
     std::vector<settings::problem>& problems;
-    std::set<std::string, std::less<>> asked;
+    std::set<std::string, std::less<>> requested_keys;
 };
 
 } // namespace reedramp::standin
--- a/source/standin/part.cpp
+++ b/source/standin/part.cpp
@@ -14,29 +14,29 @@
 constexpr std::uint16_t status_ok = 200;
 constexpr std::uint16_t status_bad_request = 400;
 constexpr std::uint16_t status_method_not_allowed = 405;
-constexpr std::uint16_t status_failed = 500;
+constexpr std::uint16_t status_internal_error = 500;
 constexpr std::uint16_t status_unavailable = 503;
-constexpr double whole_permille = 1000.0;
+constexpr double permille_scale = 1000.0;
 
 } // namespace
 
-part_server::part_server(part_description description, part_tools tools)
-    : about(std::move(description)), given_tools(std::move(tools))
+part_server::part_server(part_description initial_description, part_environment environment)
+    : description(std::move(initial_description)), execution_environment(std::move(environment))
 {
 }
 
-auto part_server::open(hooks given) -> common::result<void>
+auto part_server::open(hooks callbacks) -> common::result<void>
 {
-    this->handlers = std::move(given);
+    this->handlers = std::move(callbacks);
     http::server_options options;
-    options.listen = this->about.listen;
+    options.listen = this->description.listen;
     options.body_limit_bytes = std::size_t{64} * 1024 * 1024;
     options.read_timeout = std::chrono::minutes(10);
     auto opened = http::server::open(
-        {this->given_tools.context},
+        {this->execution_environment.context},
         std::move(options),
-        [this](http::request asked, std::shared_ptr<http::responder> out) {
-            this->take(std::move(asked), out);
+        [this](http::request request, std::shared_ptr<http::responder> responder) {
+            this->handle_request(std::move(request), responder);
         });
     if (!opened) {
         return tl::unexpected(opened.error());
@@ -45,85 +45,88 @@
     return {};
 }
 
-auto part_server::set_faults(const faults& wanted) -> void
+auto part_server::set_faults(const faults& updated) -> void
 {
-    this->current = wanted;
+    this->current = updated;
     if (this->handlers.faults_changed) {
         this->handlers.faults_changed(this->current);
     }
 }
 
-auto part_server::reply(const responder_pointer& out, http::response answer) -> void
+auto part_server::reply(const responder_pointer& responder, http::response response) -> void
 {
     ++this->replies;
     const auto every = this->current.lose_answer_every;
     if (every != 0 && this->replies % every == 0) {
-        out->abort();
+        responder->abort();
         return;
     }
     if (this->current.slow_ms == 0) {
-        out->send(std::move(answer));
+        responder->send(std::move(response));
         return;
     }
-    const auto when = this->given_tools.clock() + std::chrono::milliseconds(this->current.slow_ms);
-    this->given_tools.timers(when, [out, answer = std::move(answer)] { out->send(answer); });
+    const auto when =
+        this->execution_environment.clock() + std::chrono::milliseconds(this->current.slow_ms);
+    this->execution_environment.timers(
+        when, [responder, response = std::move(response)] { responder->send(response); });
 }
 
-auto part_server::take(http::request asked, const responder_pointer& out) -> void
+auto part_server::handle_request(http::request request, const responder_pointer& responder) -> void
 {
-    if (path_of(asked.target) == "/faults") {
-        this->serve_faults(asked, out);
+    if (strip_query(request.target) == "/faults") {
+        this->handle_faults(request, responder);
         return;
     }
-    if (this->refuse_by_fault(out)) {
+    if (this->reject_by_fault(responder)) {
         return;
     }
-    this->handlers.serve(std::move(asked), out);
+    this->handlers.serve(std::move(request), responder);
 }
 
-auto part_server::serve_faults(const http::request& asked, const responder_pointer& out) -> void
+auto part_server::handle_faults(const http::request& request, const responder_pointer& responder)
+    -> void
 {
-    if (asked.method == "GET") {
-        out->send(json_response(status_ok, format_faults(this->current)));
+    if (request.method == "GET") {
+        responder->send(json_response(status_ok, format_faults(this->current)));
         return;
     }
-    if (asked.method != "POST") {
-        out->send(error_response(status_method_not_allowed, "use GET or POST"));
+    if (request.method != "POST") {
+        responder->send(error_response(status_method_not_allowed, "use GET or POST"));
         return;
     }
-    auto wanted = this->current;
-    const auto applied = apply_faults(asked.body, wanted);
+    auto updated = this->current;
+    const auto applied = apply_faults(request.body, updated);
     if (!applied) {
-        out->send(error_response(status_bad_request, applied.error().detail));
+        responder->send(error_response(status_bad_request, applied.error().detail));
         return;
     }
     common::log(
         common::log_part::standin,
         common::log_level::info,
-        "Faults set part=" + this->about.name + " faults=" + format_faults(wanted));
-    this->set_faults(wanted);
-    out->send(json_response(status_ok, format_faults(this->current)));
+        "Faults set part=" + this->description.name + " faults=" + format_faults(updated));
+    this->set_faults(updated);
+    responder->send(json_response(status_ok, format_faults(this->current)));
 }
 
-auto part_server::refuse_by_fault(const responder_pointer& out) -> bool
+auto part_server::reject_by_fault(const responder_pointer& responder) -> bool
 {
     if (this->current.down) {
-        if (this->about.when_down == down_answer::closed_connection) {
-            out->abort();
+        if (this->description.when_down == down_behaviour::closed_connection) {
+            responder->abort();
         }
         else {
-            out->send(error_response(status_unavailable, "down"));
+            responder->send(error_response(status_unavailable, "down"));
         }
         return true;
     }
     if (this->current.error_rate_permille == 0) {
         return false;
     }
-    const auto drawn = common::random_unit(this->given_tools.random) * whole_permille;
-    if (drawn >= this->current.error_rate_permille) {
+    const auto sample = common::random_unit(this->execution_environment.random) * permille_scale;
+    if (sample >= this->current.error_rate_permille) {
         return false;
     }
-    out->send(error_response(status_failed, "failed by fault"));
+    responder->send(error_response(status_internal_error, "failed by fault"));
     return true;
 }
 
@@ -132,21 +135,23 @@
     return {status, {{"Content-Type", "application/json"}}, std::move(body)};
 }
 
-auto error_response(std::uint16_t status, std::string_view why) -> http::response
+auto error_response(std::uint16_t status, std::string_view message) -> http::response
 {
-    const boost::json::string_view text{why.data(), why.size()};
+    const boost::json::string_view text{message.data(), message.size()};
     return json_response(status, boost::json::serialize(boost::json::object{{"error", text}}));
 }
 
-auto path_of(std::string_view target) -> std::string_view
+auto strip_query(std::string_view target) -> std::string_view
 {
     return target.substr(0, target.find('?'));
 }
 
-auto query_count(std::string_view target, std::string_view name) -> std::optional<std::uint64_t>
+auto parse_query_number(std::string_view target, std::string_view name)
+    -> std::optional<std::uint64_t>
 {
-    const auto mark = target.find('?');
-    auto rest = mark == std::string_view::npos ? std::string_view{} : target.substr(mark + 1);
+    const auto query_start = target.find('?');
+    auto rest =
+        query_start == std::string_view::npos ? std::string_view{} : target.substr(query_start + 1);
     while (!rest.empty()) {
         const auto field = rest.substr(0, rest.find('&'));
         rest.remove_prefix(std::min(rest.size(), field.size() + 1));
--- a/source/standin/ratings_part.cpp
+++ b/source/standin/ratings_part.cpp
@@ -13,11 +13,13 @@
 constexpr std::uint16_t status_ok = 200;
 constexpr std::uint16_t status_bad_request = 400;
 constexpr std::uint16_t status_not_found = 404;
-constexpr double whole_permille = 1000.0;
-constexpr double score_without_table = 0.8;
+constexpr double permille_scale = 1000.0;
+/// Score of versions and tasks without an entry in `ratings_settings::quality`.
+constexpr double default_score = 0.8;
 constexpr auto any_task = "*";
 
-/// A question names its task in brackets: "[tagging] Which roof type ...".
+/// Returns the task that a question names in brackets, as in "[tagging] Which roof type ...", or
+/// `any_task`.
 auto task_of(std::string_view question) -> std::string
 {
     const auto begin = question.find('[');
@@ -29,101 +31,104 @@
 }
 
 struct ratings_part {
-    ratings_part(part_server& given_server, const ratings_settings& given)
-        : server(given_server), wanted(given),
+    ratings_part(part_server& given_server, const ratings_settings& given_config)
+        : server(given_server), config(given_config),
           ratings(
-              given_server.tools().clock,
-              given_server.tools().timers,
+              given_server.environment().clock,
+              given_server.environment().timers,
               [this](const platform::rated_answer& submitted) { return this->score(submitted); })
     {
-        this->ratings.set_delay(std::chrono::milliseconds(given.delay_ms));
+        this->ratings.set_delay(std::chrono::milliseconds(given_config.delay_ms));
     }
 
-    auto random() const -> double { return common::random_unit(this->server.tools().random); }
+    auto random() const -> double { return common::random_unit(this->server.environment().random); }
 
     auto score(const platform::rated_answer& submitted) const -> std::optional<double>
     {
-        if (this->random() * whole_permille < this->wanted.missing_permille) {
+        if (this->random() * permille_scale < this->config.missing_permille) {
             return std::nullopt;
         }
-        const auto noise = (2.0 * this->random() - 1.0) * this->wanted.noise;
+        const auto noise = (2.0 * this->random() - 1.0) * this->config.noise;
         const auto reading = read_answer(submitted.answer);
         if (!reading || reading->bad || !reading->in_order) {
-            return this->wanted.bad_score + noise;
+            return this->config.bad_score + noise;
         }
         return this->quality(reading->version, task_of(submitted.question)) + noise;
     }
 
     auto quality(const std::string& version, const std::string& task) const -> double
     {
-        const auto tasks = this->wanted.quality.find(version);
-        if (tasks == this->wanted.quality.end()) {
-            return score_without_table;
+        const auto tasks = this->config.quality.find(version);
+        if (tasks == this->config.quality.end()) {
+            return default_score;
         }
-        const auto own = tasks->second.find(task);
-        const auto found = own != tasks->second.end() ? own : tasks->second.find(any_task);
-        return found == tasks->second.end() ? score_without_table : found->second;
+        const auto task_score = tasks->second.find(task);
+        const auto found =
+            task_score != tasks->second.end() ? task_score : tasks->second.find(any_task);
+        return found == tasks->second.end() ? default_score : found->second;
     }
 
-    auto serve(const http::request& asked, const responder_pointer& out) -> void
+    auto serve(const http::request& request, const responder_pointer& responder) -> void
     {
-        const auto path = path_of(asked.target);
-        if (path == "/ratings/submit" && asked.method == "POST") {
-            this->submit(asked, out);
+        const auto path = strip_query(request.target);
+        if (path == "/ratings/submit" && request.method == "POST") {
+            this->submit(request, responder);
             return;
         }
-        if (path == "/ratings" && asked.method == "GET") {
-            this->fetch(query_count(asked.target, "since").value_or(0), out);
+        if (path == "/ratings" && request.method == "GET") {
+            this->fetch(parse_query_number(request.target, "since").value_or(0), responder);
             return;
         }
-        out->send(error_response(status_not_found, "no such path"));
+        responder->send(error_response(status_not_found, "no such path"));
     }
 
-    auto submit(const http::request& asked, const responder_pointer& out) -> void
+    auto submit(const http::request& request, const responder_pointer& responder) -> void
     {
-        const auto fields = platform::parse_object(asked.body);
-        const auto request = fields ? platform::string_field(*fields, "request") : std::nullopt;
-        const auto id = request ? common::parse_request_id(*request) : std::nullopt;
+        const auto fields = platform::parse_object(request.body);
+        const auto request_id_text =
+            fields ? platform::string_field(*fields, "request") : std::nullopt;
+        const auto id = request_id_text ? common::parse_request_id(*request_id_text) : std::nullopt;
         if (!id) {
-            out->send(error_response(status_bad_request, "needs request, question and answer"));
+            responder->send(
+                error_response(status_bad_request, "needs request, question and answer"));
             return;
         }
         auto question = platform::string_field(*fields, "question").value_or("");
         auto answer = platform::string_field(*fields, "answer").value_or("");
         this->ratings.submit({*id, std::move(question), std::move(answer)});
-        this->server.reply(out, json_response(status_ok, "{}"));
+        this->server.reply(responder, json_response(status_ok, "{}"));
     }
 
-    auto fetch(std::uint64_t since, const responder_pointer& out) -> void
+    auto fetch(std::uint64_t since, const responder_pointer& responder) -> void
     {
         const auto page = this->ratings.page_after(since);
         boost::json::array rows;
         rows.reserve(page.ratings.size());
-        for (const auto& made : page.ratings) {
+        for (const auto& rating : page.ratings) {
             rows.emplace_back(boost::json::object{
-                {"request", common::to_string(made.request)}, {"score", made.score}});
+                {"request", common::to_string(rating.request)}, {"score", rating.score}});
         }
         const boost::json::object body{{"ratings", std::move(rows)}, {"next", page.next}};
-        this->server.reply(out, json_response(status_ok, boost::json::serialize(body)));
+        this->server.reply(responder, json_response(status_ok, boost::json::serialize(body)));
     }
 
     part_server& server;
-    ratings_settings wanted;
+    ratings_settings config;
     platform::fake_ratings ratings;
 };
 
 } // namespace
 
 auto open_ratings(
-    const part_tools& tools, const std::string& address, const ratings_settings& wanted)
-    -> opened_part
+    const part_environment& environment, const std::string& address, const ratings_settings& config)
+    -> part_result
 {
-    part_description about{"ratings", "ratings", {address, wanted.port}};
-    auto server = std::make_unique<part_server>(std::move(about), tools);
-    const auto part = std::make_shared<ratings_part>(*server, wanted);
+    part_description description{"ratings", "ratings", {address, config.port}};
+    auto server = std::make_unique<part_server>(std::move(description), environment);
+    const auto part = std::make_shared<ratings_part>(*server, config);
     part_server::hooks hooks;
-    hooks.serve = [part](const http::request& asked, const responder_pointer& out) {
-        part->serve(asked, out);
+    hooks.serve = [part](const http::request& request, const responder_pointer& responder) {
+        part->serve(request, responder);
     };
     const auto opened = server->open(std::move(hooks));
     if (!opened) {
--- a/source/standin/service_part.cpp
+++ b/source/standin/service_part.cpp
@@ -13,21 +13,21 @@
 namespace {
 
 constexpr std::uint16_t status_ok = 200;
-constexpr std::size_t shown_body_bytes = 200;
-constexpr std::size_t shown_repeats = 100;
+constexpr std::size_t body_key_prefix_bytes = 200;
+constexpr std::size_t max_listed_repeats = 100;
 constexpr auto request_header = "Reedramp-Request-Id";
 
-/// The body's start, which people can read, and a hash that tells long bodies apart.
-auto body_key(const std::string& body) -> std::string
+/// Returns the body, or for long bodies a readable prefix and a hash that distinguishes them.
+auto make_body_key(const std::string& body) -> std::string
 {
-    if (body.size() <= shown_body_bytes) {
+    if (body.size() <= body_key_prefix_bytes) {
         return body;
     }
-    return body.substr(0, shown_body_bytes) + "#" +
+    return body.substr(0, body_key_prefix_bytes) + "#" +
            std::to_string(XXH64(body.data(), body.size(), 0));
 }
 
-/// How often one request id or one body was run.
+/// Number of runs of one request id or one body, with the method and target of the last run.
 struct run_count {
     std::uint64_t runs = 0;
     std::string method;
@@ -36,22 +36,23 @@
 
 using run_counts = std::unordered_map<std::string, run_count>;
 
-auto count_run(run_counts& counts, const std::string& key, const http::request& asked) -> void
+auto count_run(run_counts& counts, const std::string& key, const http::request& request) -> void
 {
     if (key.empty()) {
         return;
     }
     auto& count = counts[key];
     ++count.runs;
-    count.method = asked.method;
-    count.target = asked.target;
+    count.method = request.method;
+    count.target = request.target;
 }
 
+/// Lists keys that ran more than once, up to `max_listed_repeats`.
 auto list_repeats(const run_counts& counts) -> boost::json::array
 {
     boost::json::array rows;
     for (const auto& [key, count] : counts) {
-        if (count.runs < 2 || rows.size() >= shown_repeats) {
+        if (count.runs < 2 || rows.size() >= max_listed_repeats) {
             continue;
         }
         rows.emplace_back(boost::json::object{
@@ -64,48 +65,50 @@
     return rows;
 }
 
-/// Counts runs by request id, and by body, since a caller's second try has an id of its own but the
-/// same body.
+/// Counts runs by request id and by body. The body identifies retries by the client, which have the
+/// same body but a new request id.
 struct service_part {
-    service_part(part_server& given_server, const service_settings& given)
-        : server(given_server), wanted(given)
+    service_part(part_server& given_server, const service_settings& given_config)
+        : server(given_server), config(given_config)
     {
     }
 
-    auto serve(const http::request& asked, const responder_pointer& out) -> void
+    auto serve(const http::request& request, const responder_pointer& responder) -> void
     {
-        if (asked.target == "/runs" && asked.method == "GET") {
-            out->send(json_response(status_ok, this->counters()));
+        if (request.target == "/runs" && request.method == "GET") {
+            responder->send(json_response(status_ok, this->counters()));
             return;
         }
-        if (asked.target == "/runs/bodies" && asked.method == "GET") {
-            out->send(json_response(status_ok, this->all_bodies()));
+        if (request.target == "/runs/bodies" && request.method == "GET") {
+            responder->send(json_response(status_ok, this->all_bodies()));
             return;
         }
-        const auto id = http::find_header(asked.headers, request_header).value_or("");
+        const auto id = http::find_header(request.headers, request_header).value_or("");
         ++this->runs;
-        count_run(this->by_request, std::string(id), asked);
-        count_run(this->by_body, body_key(asked.body), asked);
+        count_run(this->by_request, std::string(id), request);
+        count_run(this->by_body, make_body_key(request.body), request);
         const boost::json::object body{
             {"service", this->server.name()},
             {"request", std::string(id)},
             {"run", this->runs},
-            {"method", asked.method},
-            {"target", asked.target},
-            {"body_bytes", asked.body.size()},
+            {"method", request.method},
+            {"target", request.target},
+            {"body_bytes", request.body.size()},
         };
-        this->answer(out, json_response(status_ok, boost::json::serialize(body)));
+        this->reply_after_delay(responder, json_response(status_ok, boost::json::serialize(body)));
     }
 
-    auto answer(const responder_pointer& out, http::response made) -> void
+    auto reply_after_delay(const responder_pointer& responder, http::response response) -> void
     {
-        if (this->wanted.delay_us == 0) {
-            this->server.reply(out, std::move(made));
+        if (this->config.delay_us == 0) {
+            this->server.reply(responder, std::move(response));
             return;
         }
-        const auto& tools = this->server.tools();
-        const auto when = tools.clock() + std::chrono::microseconds(this->wanted.delay_us);
-        tools.timers(when, [this, out, made = std::move(made)] { this->server.reply(out, made); });
+        const auto& environment = this->server.environment();
+        const auto when = environment.clock() + std::chrono::microseconds(this->config.delay_us);
+        environment.timers(when, [this, responder, response = std::move(response)] {
+            this->server.reply(responder, response);
+        });
     }
 
     [[nodiscard]] auto counters() const -> std::string
@@ -120,7 +123,7 @@
         return boost::json::serialize(body);
     }
 
-    /// Each body with its runs, so that a reader can add up several services.
+    /// Lists all bodies with their runs, so that a client can sum them over several services.
     [[nodiscard]] auto all_bodies() const -> std::string
     {
         boost::json::array rows;
@@ -132,7 +135,7 @@
     }
 
     part_server& server;
-    service_settings wanted;
+    service_settings config;
     std::uint64_t runs = 0;
     run_counts by_request;
     run_counts by_body;
@@ -141,16 +144,16 @@
 } // namespace
 
 auto open_service(
-    const part_tools& tools, const std::string& address, const service_settings& wanted)
-    -> opened_part
+    const part_environment& environment, const std::string& address, const service_settings& config)
+    -> part_result
 {
-    part_description about{
-        "service", wanted.name, {address, wanted.port}, down_answer::closed_connection};
-    auto server = std::make_unique<part_server>(std::move(about), tools);
-    const auto part = std::make_shared<service_part>(*server, wanted);
+    part_description description{
+        "service", config.name, {address, config.port}, down_behaviour::closed_connection};
+    auto server = std::make_unique<part_server>(std::move(description), environment);
+    const auto part = std::make_shared<service_part>(*server, config);
     part_server::hooks hooks;
-    hooks.serve = [part](const http::request& asked, const responder_pointer& out) {
-        part->serve(asked, out);
+    hooks.serve = [part](const http::request& request, const responder_pointer& responder) {
+        part->serve(request, responder);
     };
     const auto opened = server->open(std::move(hooks));
     if (!opened) {
--- a/source/standin/stand_in.cpp
+++ b/source/standin/stand_in.cpp
@@ -8,26 +8,26 @@
 
 namespace reedramp::standin {
 
-auto stand_in::start(const stand_in_settings& wanted) -> common::result<std::unique_ptr<stand_in>>
+auto stand_in::start(const stand_in_settings& config) -> common::result<std::unique_ptr<stand_in>>
 {
-    std::unique_ptr<stand_in> made(new stand_in(wanted.threads));
-    const auto opened = made->open_parts(wanted);
+    std::unique_ptr<stand_in> instance(new stand_in(config.threads));
+    const auto opened = instance->open_parts(config);
     if (!opened) {
         return tl::unexpected(opened.error());
     }
-    made->threads.start();
-    return made;
+    instance->threads.start();
+    return instance;
 }
 
 stand_in::~stand_in()
 {
-    // Timers refer to the parts; none may fire while they are destroyed.
+    // Timer callbacks hold pointers to the parts: stop the threads before the parts are destroyed.
     this->threads.stop();
 }
 
-auto stand_in::parts() const -> std::vector<open_part>
+auto stand_in::parts() const -> std::vector<part_endpoint>
 {
-    std::vector<open_part> listed;
+    std::vector<part_endpoint> listed;
     listed.reserve(this->servers.size());
     for (const auto& server : this->servers) {
         listed.push_back({server->kind(), server->name(), server->port()});
@@ -45,35 +45,35 @@
     return 0;
 }
 
-auto stand_in::open_parts(const stand_in_settings& wanted) -> common::result<void>
+auto stand_in::open_parts(const stand_in_settings& config) -> common::result<void>
 {
-    auto seed = wanted.seed;
-    const auto open = [this, &wanted, &seed](auto open_one, const auto& part) {
-        return this->keep(open_one(this->next_tools(seed++), wanted.address, part));
+    auto seed = config.seed;
+    const auto open = [this, &config, &seed](auto open_one, const auto& part) {
+        return this->add_part(open_one(this->next_environment(seed++), config.address, part));
     };
     common::result<void> opened;
-    if (wanted.log) {
-        opened = opened ? open(open_log, *wanted.log) : opened;
+    if (config.log) {
+        opened = opened ? open(open_log, *config.log) : opened;
     }
-    if (wanted.hosts) {
-        opened = opened ? open(open_hosts, *wanted.hosts) : opened;
+    if (config.hosts) {
+        opened = opened ? open(open_hosts, *config.hosts) : opened;
     }
-    if (wanted.ratings) {
-        opened = opened ? open(open_ratings, *wanted.ratings) : opened;
+    if (config.ratings) {
+        opened = opened ? open(open_ratings, *config.ratings) : opened;
     }
-    if (wanted.weights) {
-        opened = opened ? open(open_weights, *wanted.weights) : opened;
+    if (config.weights) {
+        opened = opened ? open(open_weights, *config.weights) : opened;
     }
-    for (const auto& engine : wanted.engines) {
+    for (const auto& engine : config.engines) {
         opened = opened ? open(open_engine, engine) : opened;
     }
-    for (const auto& service : wanted.services) {
+    for (const auto& service : config.services) {
         opened = opened ? open(open_service, service) : opened;
     }
     return opened;
 }
 
-auto stand_in::next_tools(std::uint64_t seed) -> part_tools
+auto stand_in::next_environment(std::uint64_t seed) -> part_environment
 {
     const auto generator = std::make_shared<std::mt19937_64>(seed);
     return {
@@ -84,7 +84,7 @@
     };
 }
 
-auto stand_in::keep(common::result<std::unique_ptr<part_server>> opened) -> common::result<void>
+auto stand_in::add_part(common::result<std::unique_ptr<part_server>> opened) -> common::result<void>
 {
     if (!opened) {
         return tl::unexpected(opened.error());
--- a/source/standin/weights_part.cpp
+++ b/source/standin/weights_part.cpp
@@ -12,61 +12,62 @@
 constexpr std::uint16_t status_bad_request = 400;
 constexpr std::uint16_t status_too_many = 429;
 
-/// All transfers share one rate and go one after the other.
+/// Simulates a weight store that runs one transfer at a time, in order of arrival, at a fixed rate.
 struct weights_part {
-    weights_part(part_server& given_server, const weights_settings& given)
-        : server(given_server), wanted(given)
+    weights_part(part_server& given_server, const weights_settings& given_config)
+        : server(given_server), config(given_config)
     {
     }
 
-    auto serve(const http::request& asked, const responder_pointer& out) -> void
+    auto serve(const http::request& request, const responder_pointer& responder) -> void
     {
-        const auto fields = platform::parse_object(asked.body);
+        const auto fields = platform::parse_object(request.body);
         const auto bytes = fields ? platform::count_field(*fields, "bytes") : std::nullopt;
-        if (asked.target != "/weights/fetch" || asked.method != "POST" || !bytes) {
-            out->send(error_response(status_bad_request, "needs POST /weights/fetch with bytes"));
+        if (request.target != "/weights/fetch" || request.method != "POST" || !bytes) {
+            responder->send(
+                error_response(status_bad_request, "needs POST /weights/fetch with bytes"));
             return;
         }
-        const auto& tools = this->server.tools();
-        const auto now = tools.clock();
-        const auto starts = std::max(now, this->busy_until);
-        if (starts - now > std::chrono::milliseconds(this->wanted.longest_queue_ms)) {
-            this->refuse(starts - now, out);
+        const auto& environment = this->server.environment();
+        const auto now = environment.clock();
+        const auto start_at = std::max(now, this->busy_until);
+        if (start_at - now > std::chrono::milliseconds(this->config.longest_queue_ms)) {
+            this->reject(start_at - now, responder);
             return;
         }
-        const std::chrono::duration<double> takes(
-            static_cast<double>(*bytes) / static_cast<double>(this->wanted.bytes_per_second));
-        this->busy_until = starts + std::chrono::duration_cast<common::duration>(takes);
-        tools.timers(this->busy_until, [this, out] {
-            this->server.reply(out, json_response(status_ok, "{}"));
+        const std::chrono::duration<double> duration(
+            static_cast<double>(*bytes) / static_cast<double>(this->config.bytes_per_second));
+        this->busy_until = start_at + std::chrono::duration_cast<common::duration>(duration);
+        environment.timers(this->busy_until, [this, responder] {
+            this->server.reply(responder, json_response(status_ok, "{}"));
         });
     }
 
-    auto refuse(common::duration wait, const responder_pointer& out) -> void
+    auto reject(common::duration wait, const responder_pointer& responder) -> void
     {
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(wait).count();
-        auto answer = error_response(status_too_many, "too many transfers");
-        answer.headers.push_back({"Retry-After", std::to_string(seconds)});
-        this->server.reply(out, std::move(answer));
+        auto response = error_response(status_too_many, "too many transfers");
+        response.headers.push_back({"Retry-After", std::to_string(seconds)});
+        this->server.reply(responder, std::move(response));
     }
 
     part_server& server;
-    weights_settings wanted;
+    weights_settings config;
     common::time_point busy_until{};
 };
 
 } // namespace
 
 auto open_weights(
-    const part_tools& tools, const std::string& address, const weights_settings& wanted)
-    -> opened_part
+    const part_environment& environment, const std::string& address, const weights_settings& config)
+    -> part_result
 {
-    part_description about{"weights", "weights", {address, wanted.port}};
-    auto server = std::make_unique<part_server>(std::move(about), tools);
-    const auto part = std::make_shared<weights_part>(*server, wanted);
+    part_description description{"weights", "weights", {address, config.port}};
+    auto server = std::make_unique<part_server>(std::move(description), environment);
+    const auto part = std::make_shared<weights_part>(*server, config);
     part_server::hooks hooks;
-    hooks.serve = [part](const http::request& asked, const responder_pointer& out) {
-        part->serve(asked, out);
+    hooks.serve = [part](const http::request& request, const responder_pointer& responder) {
+        part->serve(request, responder);
     };
     const auto opened = server->open(std::move(hooks));
     if (!opened) {
