--- a/source/unit_tests/whole_path/calls.cpp
+++ b/source/unit_tests/whole_path/calls.cpp
@@ -48,13 +48,13 @@
     return {"POST", "/v1/sessions", {entry::test::bearer(key)}, json::serialize(body), {}};
 }
 
-auto answer_of(const fake_caller& caller) -> std::string
+auto chat_answer_text(const fake_caller& caller) -> std::string
 {
     const auto answer = agent::parse_engine_answer(caller.body);
     return answer ? answer->text : std::string();
 }
 
-auto request_of(const fake_caller& caller) -> std::optional<common::request_id>
+auto request_id_of(const fake_caller& caller) -> std::optional<common::request_id>
 {
     return common::parse_request_id(caller.header("Reedramp-Request-Id"));
 }
--- a/source/unit_tests/whole_path/inventory.hpp
+++ b/source/unit_tests/whole_path/configuration_records.hpp
@@ -3,16 +3,16 @@
 #include <cstdint>
 #include <string>
 
-/// The configuration that the tests start with, as JSON text.
+/// Configuration records of the tests, as JSON text.
 namespace reedramp::whole_path {
 
 auto record_text(const std::string& id, std::uint64_t base, const std::string& changes)
     -> std::string;
 
-/// Everything that `fleet` names.
-auto first_record() -> std::string;
+/// Record that creates all models, servers, services and organisations of `fleet`.
+auto initial_record() -> std::string;
 
-/// A change of one version's price.
+/// Change that sets the prompt and completion price of a version.
 auto put_price(const std::string& version, int price) -> std::string;
 
 } // namespace reedramp::whole_path
--- a/source/unit_tests/whole_path/fleet.cpp
+++ b/source/unit_tests/whole_path/fleet.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "unit_tests/whole_path/inventory.hpp"
+#include "unit_tests/whole_path/configuration_records.hpp"
 
 namespace reedramp::whole_path {
 
@@ -16,9 +16,9 @@
 constexpr common::duration check_period = 50ms;
 constexpr common::duration publish_limit = 5s;
 
-/// The same bits for the same seed on all machines (SplitMix64). Copies of the hook share one
-/// state; with a state each, two entries would draw the same request ids.
-auto random_from(std::uint64_t seed) -> common::random_hook
+/// SplitMix64 generator, which gives the same numbers for a seed on all platforms. Copies of the
+/// hook share one state; with separate states two entries would draw the same request ids.
+auto seeded_random(std::uint64_t seed) -> common::random_hook
 {
     return [state = std::make_shared<std::uint64_t>(seed)] {
         *state += 0x9e3779b97f4a7c15ULL;
@@ -29,7 +29,7 @@
     };
 }
 
-auto allow_all(const inventory::snapshot_ptr& state) -> inventory::snapshot_ptr
+auto allow_all_versions(const inventory::snapshot_ptr& state) -> inventory::snapshot_ptr
 {
     auto next = std::make_shared<inventory::state>(*state);
     for (auto& [id, owner] : next->organisations) {
@@ -56,13 +56,13 @@
     return rows;
 }
 
-/// Answers of the platform reach only the life that asked.
+/// Wraps `done` so that it runs only while the process that asked is alive.
 template <typename Answer>
-auto for_life(const life_ptr& alive, platform::answer_hook<Answer> done)
+auto while_alive(const process_ptr& process, platform::answer_hook<Answer> done)
     -> platform::answer_hook<Answer>
 {
-    return [alive, done = std::move(done)](common::result<Answer> answer) {
-        alive->post([done, answer = std::move(answer)] { done(answer); });
+    return [process, done = std::move(done)](common::result<Answer> answer) {
+        process->post([done, answer = std::move(answer)] { done(answer); });
     };
 }
 
@@ -71,31 +71,31 @@
 fleet::fleet(std::uint64_t seed, mutation wanted)
     : log(time.clock(), time.timers()), hosts(time.clock(), time.timers()),
       ratings(time.clock(), time.timers(), [](const auto&) { return 1.0; }),
-      net(time, random_from(seed ^ 0x6e6574ULL)), fault(wanted), random(random_from(seed))
+      net(time, seeded_random(seed ^ 0x6e6574ULL)), fault(wanted), random(seeded_random(seed))
 {
-    this->log.put(platform::streams::configuration, first_record());
+    this->log.put(platform::streams::configuration, initial_record());
 }
 
 fleet::~fleet()
 {
-    // Ends what runs, also in killed processes, so that calls and their readers let go of each
-    // other.
+    // Ends all requests, also in killed processes, to break the reference cycles between calls and
+    // their callbacks.
     for (const auto& [name, node] : this->agents) {
-        this->earlier_agents.push_back(node);
+        this->replaced_agents.push_back(node);
     }
     for (const auto& [name, node] : this->entries) {
-        this->earlier_entries.push_back(node);
+        this->replaced_entries.push_back(node);
     }
-    for (const auto& node : this->earlier_agents) {
+    for (const auto& node : this->replaced_agents) {
         if (node != nullptr && node->core != nullptr) {
-            node->alive->revive();
+            node->process->resume_actions();
             node->core->drain();
             node->core->fail_all_runs();
         }
     }
-    for (const auto& node : this->earlier_entries) {
+    for (const auto& node : this->replaced_entries) {
         if (node != nullptr) {
-            node->alive->revive();
+            node->process->resume_actions();
             node->core->shut_down(this->time.now(), [](std::size_t) {});
             node->claim_arbiters->stop();
             node->follower->stop();
@@ -104,39 +104,39 @@
     this->time.run_for(1s);
 }
 
-auto fleet::log_for(const life_ptr& alive) -> platform::log_hooks
+auto fleet::make_log_hooks(const process_ptr& process) -> platform::log_hooks
 {
-    const auto all = this->log.hooks();
+    const auto shared_hooks = this->log.hooks();
     platform::log_hooks own;
-    own.append = [all, alive](auto stream, auto data, auto done) {
-        all.append(
+    own.append = [shared_hooks, process](auto stream, auto data, auto done) {
+        shared_hooks.append(
             std::move(stream),
             std::move(data),
-            for_life<common::log_offset>(alive, std::move(done)));
+            while_alive<common::log_offset>(process, std::move(done)));
     };
-    own.read = [all, alive](auto stream, auto after, auto wait, auto done) {
-        all.read(
+    own.read = [shared_hooks, process](auto stream, auto after, auto wait, auto done) {
+        shared_hooks.read(
             std::move(stream),
             after,
             wait,
-            for_life<platform::read_answer>(alive, std::move(done)));
+            while_alive<platform::read_answer>(process, std::move(done)));
     };
     return own;
 }
 
-auto fleet::list_for(const life_ptr& alive) -> platform::host_hooks
+auto fleet::make_host_hooks(const process_ptr& process) -> platform::host_hooks
 {
-    return {[list = this->hosts.hooks(), alive](auto done) {
-        list.list(for_life<std::vector<platform::host_entry>>(alive, std::move(done)));
+    return {[list = this->hosts.hooks(), process](auto done) {
+        list.list(while_alive<std::vector<platform::host_entry>>(process, std::move(done)));
     }};
 }
 
-auto fleet::seen_by(const inventory::snapshot_ptr& state) const -> inventory::snapshot_ptr
+auto fleet::apply_mutation(const inventory::snapshot_ptr& state) const -> inventory::snapshot_ptr
 {
-    return this->fault == mutation::all_allowed ? allow_all(state) : state;
+    return this->fault == mutation::unrestricted_versions ? allow_all_versions(state) : state;
 }
 
-auto fleet::list_agent(const agent_node& node, platform::host_state state) -> void
+auto fleet::list_agent_host(const agent_node& node, platform::host_state state) -> void
 {
     this->hosts.put(
         {node.host,
@@ -148,7 +148,7 @@
          {}});
 }
 
-auto fleet::list_entry(const entry_node& node, platform::host_state state) -> void
+auto fleet::list_entry_host(const entry_node& node, platform::host_state state) -> void
 {
     this->hosts.put(
         {node.host,
@@ -160,16 +160,16 @@
          {}});
 }
 
-auto fleet::make_follower(const life_ptr& alive) -> inventory::follower_hooks
+auto fleet::make_follower_hooks(const process_ptr& process) -> inventory::follower_hooks
 {
     inventory::follower_hooks hooks;
-    hooks.log = this->log_for(alive);
-    hooks.pull = this->net.peers_for(alive).pull;
+    hooks.log = this->make_log_hooks(process);
+    hooks.pull = this->net.peer_calls_for(process).pull;
     hooks.clock = this->time.clock();
     hooks.wall_clock = [this] {
         return common::wall_time_ms(this->time.now().time_since_epoch() / 1ms);
     };
-    hooks.timer = alive->timers();
+    hooks.timer = process->timers();
     hooks.random = this->random;
     hooks.shared_key = shared_key;
     return hooks;
@@ -179,28 +179,29 @@
 {
     auto node = std::make_shared<entry_node>();
     node->host = common::host_id(host);
-    node->address = messages::rpc_address(host + "/" + std::to_string(++this->lives));
-    node->alive = std::make_shared<life>(this->time);
-    this->make_members(*node);
-    node->follower = this->entry_follower(*node);
+    node->address = messages::rpc_address(host + "/" + std::to_string(++this->started_processes));
+    node->process = std::make_shared<simulated_process>(this->time);
+    this->make_membership(*node);
+    node->follower = this->make_entry_follower(*node);
     node->publisher = inventory::publisher::create(
-        {this->log_for(node->alive), this->time.clock(), node->alive->timers()}, node->follower);
-    this->make_claims(*node);
-    node->bills = this->make_bills(*node);
+        {this->make_log_hooks(node->process), this->time.clock(), node->process->timers()},
+        node->follower);
+    this->make_claim_components(*node);
+    node->bill_collector = this->make_bill_collector(*node);
     entry::version_policy_settings policy;
     policy.explore_share = 0;
     node->versions = std::make_shared<entry::version_policy>(policy);
     this->make_core(node);
-    this->open_entry(node);
+    this->serve_entry(node);
     node->hosts->start();
     node->follower->start();
-    this->list_entry(*node, platform::host_state::live);
-    this->earlier_entries.push_back(std::exchange(this->entries[host], node));
+    this->list_entry_host(*node, platform::host_state::live);
+    this->replaced_entries.push_back(std::exchange(this->entries[host], node));
 }
 
-auto fleet::entry_follower(const entry_node& node) -> std::shared_ptr<inventory::follower>
+auto fleet::make_entry_follower(const entry_node& node) -> std::shared_ptr<inventory::follower>
 {
-    auto hooks = this->make_follower(node.alive);
+    auto hooks = this->make_follower_hooks(node.process);
     hooks.peers = [watch = node.hosts] {
         return watch->peers();
     };
@@ -216,22 +217,22 @@
     return inventory::follower::create(std::move(hooks), {});
 }
 
-auto fleet::forget_configuration(const std::string& host) -> void
+auto fleet::reset_configuration(const std::string& host) -> void
 {
     auto& node = *this->entries.at(host);
     node.follower->stop();
-    node.follower = this->entry_follower(node);
+    node.follower = this->make_entry_follower(node);
     node.follower->start();
 }
 
-auto fleet::make_members(entry_node& node) -> void
+auto fleet::make_membership(entry_node& node) -> void
 {
     const membership::location here{node.host, common::data_centre_id(data_centre), {}};
     node.members = std::make_shared<membership::view>();
     membership::host_watcher_hooks watching;
-    watching.list = this->list_for(node.alive);
+    watching.list = this->make_host_hooks(node.process);
     watching.now = this->time.clock();
-    watching.timer = node.alive->timers();
+    watching.timer = node.process->timers();
     watching.entries_changed = [at = &node](std::vector<common::host_id> found) {
         at->claim_arbiters->update_entries(std::move(found));
     };
@@ -242,44 +243,47 @@
     node.placer = entry::placer::create(
         placing,
         {this->time.clock(),
-         node.alive->timers(),
+         node.process->timers(),
          this->random,
-         this->net.agents_for(node.alive).probe},
+         this->net.agent_calls_for(node.process).probe},
         node.members);
-    node.shares = std::make_shared<limits::shared_limiter>(
+    node.limiter = std::make_shared<limits::shared_limiter>(
         limits::shared_limiter_settings{node.host, common::data_centre_id(data_centre)},
         this->random());
 }
 
-auto fleet::make_claims(entry_node& node) -> void
+auto fleet::make_claim_components(entry_node& node) -> void
 {
     node.claim_arbiters = std::make_shared<claims::claim_arbiter_set>(
         claims::claim_arbiter_set_config{node.host},
         claims::claim_arbiter_hooks{
-            this->log_for(node.alive), this->time.clock(), node.alive->timers(), this->random});
+            this->make_log_hooks(node.process),
+            this->time.clock(),
+            node.process->timers(),
+            this->random});
     entry_program::claim_router::dependencies route;
     route.self = node.host;
     route.claim_arbiters = node.claim_arbiters;
     route.hosts = node.hosts;
     route.members = node.members;
-    route.peers = this->net.peers_for(node.alive);
-    route.agents = this->net.agents_for(node.alive);
+    route.peers = this->net.peer_calls_for(node.process);
+    route.agents = this->net.agent_calls_for(node.process);
     route.now = this->time.clock();
-    route.timer = node.alive->timers();
-    node.claiming = std::make_shared<entry_program::claim_router>(std::move(route));
+    route.timer = node.process->timers();
+    node.claim_router = std::make_shared<entry_program::claim_router>(std::move(route));
 }
 
-/// Where the daemons choose a gatherer among many entries, here e1 is the one of e2.
-auto fleet::make_bills(const entry_node& node) -> std::shared_ptr<billing::collector>
+/// The daemons choose the entry that collects bills among many; here e1 collects those of e2.
+auto fleet::make_bill_collector(const entry_node& node) -> std::shared_ptr<billing::collector>
 {
     billing::collector_hooks hooks;
-    hooks.log = this->log_for(node.alive);
+    hooks.log = this->make_log_hooks(node.process);
     hooks.now = this->time.clock();
-    hooks.timer = node.alive->timers();
+    hooks.timer = node.process->timers();
     hooks.random = this->random;
-    if (this->gathers_bills && node.host.value() != "e1") {
-        hooks.forward = [hosts = node.hosts,
-                         to = this->net.peers_for(node.alive).hand_over](auto bills, auto done) {
+    if (this->forwards_bills && node.host.value() != "e1") {
+        hooks.forward = [hosts = node.hosts, to = this->net.peer_calls_for(node.process).hand_over](
+                            auto bills, auto done) {
             const auto others = hosts->entries();
             if (others.empty()) {
                 done(common::failure(common::result_code::peer_unavailable));
@@ -291,11 +295,11 @@
     return billing::collector::create({}, std::move(hooks));
 }
 
-auto fleet::connect_rules(const entry_ptr& node, entry::core_hooks& parts) -> void
+auto fleet::connect_policy_hooks(const entry_ptr& node, entry::core_hooks& parts) -> void
 {
     auto* at = node.get();
     parts.snapshot = [this, at]() -> inventory::snapshot_ptr {
-        return at->follower->ready() ? this->seen_by(at->follower->snapshot()) : nullptr;
+        return at->follower->ready() ? this->apply_mutation(at->follower->snapshot()) : nullptr;
     };
     parts.current_until = [at] {
         return at->follower->current_until();
@@ -305,10 +309,10 @@
         return at->versions->choose(current, question, common::random_unit(this->random));
     };
     parts.reserve_limits = [this, at](const auto& owner, const auto& expected) {
-        return at->shares->admit(owner, expected, this->time.now());
+        return at->limiter->admit(owner, expected, this->time.now());
     };
     parts.settle_limits = [at](const auto& owner, const auto& expected, const auto& used) {
-        at->shares->reconcile(owner, expected, used);
+        at->limiter->reconcile(owner, expected, used);
     };
     parts.place = [at](auto question, auto done) {
         at->placer->place(std::move(question), std::move(done));
@@ -319,25 +323,25 @@
     };
 }
 
-auto fleet::connect_accounts(const entry_ptr& node, entry::core_hooks& parts) -> void
+auto fleet::connect_claim_and_bill_hooks(const entry_ptr& node, entry::core_hooks& parts) -> void
 {
     auto* at = node.get();
     parts.claim = [at](auto claim, auto deadline, auto done) {
-        at->claiming->claim_key(std::move(claim), deadline, std::move(done));
+        at->claim_router->claim_key(std::move(claim), deadline, std::move(done));
     };
     parts.claim_name = [at](auto claim, auto done) {
-        at->claiming->claim_name(std::move(claim), std::move(done));
+        at->claim_router->claim_name(std::move(claim), std::move(done));
     };
     parts.accepts_bills = [at] {
-        return at->bills->accepts_work();
+        return at->bill_collector->accepts_work();
     };
     parts.add_bill = [this, at](messages::bill item) {
-        if (this->fault == mutation::doubled_bill) {
+        if (this->fault == mutation::duplicated_bill) {
             auto copy = item;
             copy.request.low ^= 1U;
-            at->bills->add(std::move(copy));
+            at->bill_collector->add(std::move(copy));
         }
-        at->bills->add(std::move(item));
+        at->bill_collector->add(std::move(item));
     };
     parts.submit_for_rating = [at, submit = this->ratings.hooks().submit](entry::rated_chat item) {
         at->versions->on_submitted(item.request, {item.version, item.organisation, item.task});
@@ -353,9 +357,9 @@
         return common::wall_time_ms(this->time.now().time_since_epoch() / 1ms);
     };
     parts.random = this->random;
-    parts.timer = node->alive->timers();
-    parts.agents = this->net.agents_for(node->alive);
-    if (this->fault == mutation::moved_session) {
+    parts.timer = node->process->timers();
+    parts.agents = this->net.agent_calls_for(node->process);
+    if (this->fault == mutation::wrong_session_version) {
         parts.agents.run = [run = parts.agents.run](const auto& to, auto request, auto sink) {
             if (request.session) {
                 const auto is_first = request.version.value() == "v1";
@@ -364,33 +368,33 @@
             return run(to, std::move(request), std::move(sink));
         };
     }
-    this->connect_rules(node, parts);
-    this->connect_accounts(node, parts);
+    this->connect_policy_hooks(node, parts);
+    this->connect_claim_and_bill_hooks(node, parts);
     node->core =
         entry::core::create(entry::core_options{}, std::move(parts), entry::admin_api({}, {}));
 }
 
-auto fleet::open_entry(const entry_ptr& node) -> void
+auto fleet::serve_entry(const entry_ptr& node) -> void
 {
-    auto offered = std::make_shared<endpoint>();
-    offered->owner = node->alive;
+    auto new_endpoint = std::make_shared<endpoint>();
+    new_endpoint->owner = node->process;
     auto* at = node.get();
-    offered->peer.pull = [at](const auto& pull, const auto& done) {
+    new_endpoint->peer.pull = [at](const auto& pull, const auto& done) {
         done(at->follower->answer(pull));
     };
-    offered->peer.claim = [at](auto claim, auto done) {
+    new_endpoint->peer.claim = [at](auto claim, auto done) {
         at->claim_arbiters->claim(std::move(claim), std::move(done));
     };
-    offered->peer.hand_over = [at](auto items, auto done) {
-        at->bills->receive(std::move(items), std::move(done));
+    new_endpoint->peer.hand_over = [at](auto items, auto done) {
+        at->bill_collector->receive(std::move(items), std::move(done));
     };
-    this->net.open(node->address, std::move(offered));
+    this->net.open(node->address, std::move(new_endpoint));
 }
 
 auto fleet::kill_entry(const std::string& host) -> void
 {
     const auto node = this->entries.at(host);
-    node->alive->kill();
+    node->process->kill();
     this->net.close(node->address);
 }
 
@@ -398,62 +402,62 @@
 {
     auto& node = *this->entries.at(host);
     node.leaving = true;
-    this->list_entry(node, platform::host_state::leaving);
-    const auto span = this->fault == mutation::hasty_shutdown ? 0s : shutdown_limit;
-    node.core->shut_down(this->time.now() + span, [this, &node](std::size_t cut) {
-        node.cut = cut;
+    this->list_entry_host(node, platform::host_state::leaving);
+    const auto span = this->fault == mutation::immediate_shutdown ? 0s : shutdown_limit;
+    node.core->shut_down(this->time.now() + span, [this, &node](std::size_t cut_requests) {
+        node.cut_requests = cut_requests;
         this->wait_for_callers(node, this->time.now() + shutdown_limit);
     });
 }
 
-/// As the daemon does: open connections may still bring a call.
+/// Waits as the daemon does, because open connections may still deliver a call.
 auto fleet::wait_for_callers(entry_node& node, common::time_point limit) -> void
 {
-    const auto is_busy = node.unread > 0 || node.core->counters().in_flight > 0;
+    const auto is_busy = node.unread_calls > 0 || node.core->counters().in_flight > 0;
     if (is_busy && this->time.now() < limit) {
-        node.alive->at(
+        node.process->at(
             this->time.now() + 50ms, [this, &node, limit] { this->wait_for_callers(node, limit); });
         return;
     }
     node.closed = true;
-    node.bills->flush();
-    this->settle_bills(node, this->time.now() + bills_limit);
+    node.bill_collector->flush();
+    this->drain_bills(node, this->time.now() + bills_limit);
 }
 
-auto fleet::settle_bills(entry_node& node, common::time_point limit) -> void
+auto fleet::drain_bills(entry_node& node, common::time_point limit) -> void
 {
     const auto now = this->time.now();
-    if (node.bills->empty() || now >= limit + hand_over_limit) {
-        this->leave(node);
+    if (node.bill_collector->empty() || now >= limit + hand_over_limit) {
+        this->exit_entry(node);
         return;
     }
-    const auto look_after = [this, &node, limit](common::duration pause) {
-        node.alive->at(
-            this->time.now() + pause, [this, &node, limit] { this->settle_bills(node, limit); });
+    const auto retry_after = [this, &node, limit](common::duration pause) {
+        node.process->at(
+            this->time.now() + pause, [this, &node, limit] { this->drain_bills(node, limit); });
     };
     const auto others = node.hosts->entries();
     if (now < limit || others.empty()) {
-        look_after(check_period);
+        retry_after(check_period);
         return;
     }
-    const auto items = node.bills->make_handover();
-    this->net.peers_for(node.alive)
+    const auto items = node.bill_collector->make_handover();
+    this->net.peer_calls_for(node.process)
         .hand_over(
             others.front().rpc,
             items,
-            [&node, items, look_after](const common::result<messages::accepted>& answer) {
+            [&node, items, retry_after](const common::result<messages::accepted>& answer) {
                 if (answer) {
-                    node.bills->release(items);
+                    node.bill_collector->release(items);
                 }
-                look_after(hand_over_pause);
+                retry_after(hand_over_pause);
             });
 }
 
-auto fleet::leave(entry_node& node) -> void
+auto fleet::exit_entry(entry_node& node) -> void
 {
     node.claim_arbiters->stop();
-    node.left = true;
-    node.alive->kill();
+    node.has_exited = true;
+    node.process->kill();
     this->net.close(node.address);
 }
 
@@ -473,9 +477,9 @@
 {
     auto caller = std::make_shared<fake_caller>();
     const auto node = this->entries.at(host);
-    ++node->unread;
-    node->alive->post([node, caller, request = std::move(request)]() mutable {
-        --node->unread;
+    ++node->unread_calls;
+    node->process->post([node, caller, request = std::move(request)]() mutable {
+        --node->unread_calls;
         node->core->handle(std::move(request), caller);
     });
     return caller;
--- a/source/unit_tests/whole_path/fleet_agents.cpp
+++ b/source/unit_tests/whole_path/fleet_agents.cpp
@@ -5,7 +5,7 @@
 #include "agent/registration.hpp"
 #include "fleet.hpp"
 
-/// The agents of a fleet, and their backend servers.
+/// The simulated agents of a fleet and their backend servers.
 namespace reedramp::whole_path {
 
 namespace json = boost::json;
@@ -23,27 +23,27 @@
     return mark + "." + version + "." + std::to_string(index) + " ";
 }
 
-struct engine_order {
+struct engine_request {
     std::string version;
     std::string mark;
     std::uint64_t first_token = 0;
 };
 
-auto read_order(const std::string& body) -> engine_order
+auto parse_engine_request(const std::string& body) -> engine_request
 {
     const auto value = json::parse(body);
-    engine_order order;
-    order.version = std::string(value.at("model").as_string());
-    order.mark = std::string(value.at("messages").as_array().at(0).at("content").as_string());
+    engine_request parsed;
+    parsed.version = std::string(value.at("model").as_string());
+    parsed.mark = std::string(value.at("messages").as_array().at(0).at("content").as_string());
     if (const auto* from = value.as_object().if_contains("resume_after_tokens")) {
-        order.first_token = from->to_number<std::uint64_t>();
+        parsed.first_token = from->to_number<std::uint64_t>();
     }
-    return order;
+    return parsed;
 }
 
 using ask_hook = decltype(messages::agent_service::ask);
 
-auto unrecorded(ask_hook ask) -> ask_hook
+auto refuse_without_record(ask_hook ask) -> ask_hook
 {
     return [ask = std::move(ask)](messages::outcome_query query, const auto& done) {
         query.refuse_if_unknown = false;
@@ -73,14 +73,14 @@
     node->server = common::server_id(server);
     node->host = common::host_id("h-" + server);
     node->address = messages::rpc_address(server);
-    node->alive = std::make_shared<life>(this->time);
+    node->process = std::make_shared<simulated_process>(this->time);
     node->hosts = std::make_shared<membership::host_watcher>(
         membership::location{node->host, common::data_centre_id(data_centre), {}},
         std::size_t{2},
         membership::host_watcher_hooks{
-            this->list_for(node->alive), this->time.clock(), node->alive->timers()},
+            this->make_host_hooks(node->process), this->time.clock(), node->process->timers()},
         std::make_shared<membership::view>());
-    auto hooks = this->make_follower(node->alive);
+    auto hooks = this->make_follower_hooks(node->process);
     hooks.peers = [watch = node->hosts] {
         return watch->peers();
     };
@@ -98,10 +98,13 @@
     node->follower = inventory::follower::create(std::move(hooks), {});
     node->hosts->start();
     node->follower->start();
-    this->list_agent(*node, platform::host_state::live);
-    this->earlier_agents.push_back(std::exchange(this->agents[server], node));
+    this->list_agent_host(*node, platform::host_state::live);
+    this->replaced_agents.push_back(std::exchange(this->agents[server], node));
     agent::register_agent(
-        {this->log_for(node->alive), node->alive->timers(), this->time.clock(), this->random},
+        {this->make_log_hooks(node->process),
+         node->process->timers(),
+         this->time.clock(),
+         this->random},
         {node->server, node->host, server, {}},
         this->time.now() + 1s,
         [this, at = node.get()](common::incarnation_id incarnation) {
@@ -113,7 +116,7 @@
 {
     const auto& server = node.server.value();
     const auto is_known = this->last_incarnation.contains(server);
-    if (this->fault == mutation::forgetful_agent && is_known) {
+    if (this->fault == mutation::reused_incarnation && is_known) {
         incarnation = this->last_incarnation.at(server);
     }
     this->last_incarnation[server] = incarnation;
@@ -124,9 +127,9 @@
     options.queue.capacity.slots = 2;
     agent::core_hooks hooks;
     hooks.now = this->time.clock();
-    hooks.timer = node.alive->timers();
-    hooks.post = [alive = node.alive](auto action) {
-        alive->post(std::move(action));
+    hooks.timer = node.process->timers();
+    hooks.post = [process = node.process](auto action) {
+        process->post(std::move(action));
     };
     hooks.start = [this, &node](const agent::backend_call& call, agent::backend_events events) {
         return this->start_work(node, call, std::move(events));
@@ -141,22 +144,22 @@
         follower->expect(wanted);
     };
     node.core = agent::core::create(options, std::move(hooks));
-    auto offered = std::make_shared<endpoint>();
-    offered->owner = node.alive;
-    offered->agent = node.core->service();
+    auto new_endpoint = std::make_shared<endpoint>();
+    new_endpoint->owner = node.process;
+    new_endpoint->agent = node.core->service();
     if (this->fault == mutation::unrecorded_refusal) {
-        offered->agent.ask = unrecorded(offered->agent.ask);
+        new_endpoint->agent.ask = refuse_without_record(new_endpoint->agent.ask);
     }
-    offered->peer.pull = [follower = node.follower](const auto& pull, const auto& done) {
+    new_endpoint->peer.pull = [follower = node.follower](const auto& pull, const auto& done) {
         done(follower->answer(pull));
     };
-    this->net.open(node.address, std::move(offered));
+    this->net.open(node.address, std::move(new_endpoint));
     this->tick_agent(node);
 }
 
 auto fleet::tick_agent(agent_node& node) -> void
 {
-    node.alive->at(this->time.now() + agent_tick, [this, &node] {
+    node.process->at(this->time.now() + agent_tick, [this, &node] {
         node.core->tick();
         this->tick_agent(node);
     });
@@ -164,11 +167,11 @@
 
 auto fleet::snapshot_for(const agent_node& node) -> inventory::snapshot_ptr
 {
-    auto current = this->seen_by(node.follower->snapshot());
-    if (this->fault != mutation::deaf_agent || !node.follower->ready()) {
+    auto current = this->apply_mutation(node.follower->snapshot());
+    if (this->fault != mutation::stale_configuration || !node.follower->ready()) {
         return current;
     }
-    const auto& first = this->first_seen.emplace(node.server.value(), current).first->second;
+    const auto& first = this->first_snapshots.emplace(node.server.value(), current).first->second;
     auto old = std::make_shared<inventory::state>(*first);
     old->offset = current->offset;
     return old;
@@ -177,16 +180,16 @@
 auto fleet::kill_agent(const std::string& server) -> void
 {
     const auto node = this->agents.at(server);
-    node->alive->kill();
+    node->process->kill();
     this->net.close(node->address);
 }
 
 auto fleet::drain_agent(const std::string& server) -> void
 {
     const auto node = this->agents.at(server);
-    this->list_agent(*node, platform::host_state::leaving);
+    this->list_agent_host(*node, platform::host_state::leaving);
     node->drained_at = this->time.now();
-    if (node->core && this->fault != mutation::undrained_agent) {
+    if (node->core && this->fault != mutation::ignored_drain) {
         node->core->drain();
     }
 }
@@ -201,16 +204,16 @@
     work_start item{node.server, node.incarnation, call.request, {}, call.body, this->time.now()};
     const auto is_chat = call.kind == messages::work_kind::chat;
     if (is_chat) {
-        const auto order = read_order(call.body);
-        item.version = common::version_id(order.version);
-        item.mark = order.mark;
+        const auto parsed = parse_engine_request(call.body);
+        item.version = common::version_id(parsed.version);
+        item.mark = parsed.mark;
     }
     if (this->on_start) {
         this->on_start(item);
     }
-    this->starts.push_back(item);
-    if (this->net.chance(this->broken_calls)) {
-        node.alive->at(this->time.now() + token_time, [work, is_chat] {
+    this->work_starts.push_back(item);
+    if (this->net.chance(this->backend_failure_permille)) {
+        node.process->at(this->time.now() + token_time, [work, is_chat] {
             if (is_chat && work->call.stream) {
                 work->head("text/event-stream");
             }
@@ -219,12 +222,12 @@
         return work;
     }
     if (!is_chat) {
-        node.alive->at(
+        node.process->at(
             this->time.now() + work_time, [work, item] { work->answer("done " + item.mark); });
         return work;
     }
-    if (this->fault == mutation::foreign_answer) {
-        item.mark = this->starts.front().mark;
+    if (this->fault == mutation::swapped_answer) {
+        item.mark = this->work_starts.front().mark;
     }
     this->answer_chat(node, work, item);
     return work;
@@ -239,24 +242,24 @@
     const auto begin = this->time.now() + token_time;
     if (!work->call.stream) {
         const auto text = answer_text(item.mark, version);
-        node.alive->at(begin + work_time, [work, text] {
+        node.process->at(begin + work_time, [work, text] {
             work->head("application/json");
             work->events.chunk(entry::test::chat_body(text));
             work->events.done({});
         });
         return;
     }
-    const auto first = read_order(work->call.body).first_token;
-    node.alive->at(begin, [work] { work->head("text/event-stream"); });
+    const auto first = parse_engine_request(work->call.body).first_token;
+    node.process->at(begin, [work] { work->head("text/event-stream"); });
     for (auto index = first; index < answer_tokens; ++index) {
         const auto text = token_text(item.mark, version, index);
-        node.alive->at(begin + (index - first + 1) * token_time, [work, text] {
+        node.process->at(begin + (index - first + 1) * token_time, [work, text] {
             if (!work->cancelled) {
                 work->token(text);
             }
         });
     }
-    node.alive->at(begin + (answer_tokens + 1) * token_time, [work] {
+    node.process->at(begin + (answer_tokens + 1) * token_time, [work] {
         if (!work->cancelled) {
             work->end_stream();
         }
--- a/source/unit_tests/whole_path/network.cpp
+++ b/source/unit_tests/whole_path/network.cpp
@@ -10,23 +10,24 @@
 
 namespace {
 
-constexpr common::duration shortest_trip = std::chrono::microseconds(200);
-constexpr std::uint64_t trip_spread_us = 1800;
-/// A doubled or cut call happens within this time.
+constexpr common::duration min_one_way_delay = std::chrono::microseconds(200);
+constexpr std::uint64_t one_way_delay_spread_us = 1800;
+/// Duplicates and lost connections follow within this time.
 constexpr std::uint64_t fault_spread_us = 300'000;
 
-auto broken() -> messages::run_event
+auto connection_lost() -> messages::run_event
 {
     return messages::failed_event{common::make_error(result_code::server_lost), {}};
 }
 
-/// A run seen by the entry. Its events come in order; a copy or an event that comes after the
-/// connection was lost may still reach the entry.
-class run_call final : public messages::run_handle, public std::enable_shared_from_this<run_call> {
+/// A run as the entry sees it. Events arrive in order; a duplicate, or an event that arrives after
+/// the connection was lost, may still reach the entry.
+class simulated_run final : public messages::run_handle,
+                            public std::enable_shared_from_this<simulated_run> {
 public:
-    run_call(network& wires, life_ptr caller, messages::run_sink reader)
-        : net(wires), from(std::move(caller)), sink(std::move(reader)),
-          passes_late(wires.chance(500))
+    simulated_run(network& simulated_network, process_ptr caller, messages::run_sink reader)
+        : net(simulated_network), from(std::move(caller)), sink(std::move(reader)),
+          passes_late_events(simulated_network.chance(500))
     {
     }
 
@@ -48,19 +49,21 @@
     auto deliver(messages::run_event event) -> void
     {
         const auto is_tokens = std::holds_alternative<messages::tokens_event>(event);
-        const auto copies = is_tokens && this->net.chance(this->net.faults.doubled) ? 2 : 1;
-        this->next_event = std::max(this->next_event, this->net.time.now() + this->net.delay());
+        const auto copies = is_tokens && this->net.chance(this->net.faults.duplicated) ? 2 : 1;
+        this->next_event_time =
+            std::max(this->next_event_time, this->net.time.now() + this->net.delay());
         for (auto copy = 0; copy < copies; ++copy) {
-            this->from->at(
-                this->next_event, [self = this->shared_from_this(), event] { self->pass(event); });
+            this->from->at(this->next_event_time, [self = this->shared_from_this(), event] {
+                self->pass_to_sink(event);
+            });
         }
     }
 
-    auto take(const endpoint_ptr& to, const messages::run_request& request) -> void
+    auto start_on(const endpoint_ptr& to, const messages::run_request& request) -> void
     {
         to->connections.push_back([weak = this->weak_from_this()] {
             if (const auto self = weak.lock()) {
-                self->deliver(broken());
+                self->deliver(connection_lost());
             }
         });
         to->owner->post([self = this->shared_from_this(), to, request] {
@@ -72,10 +75,10 @@
         });
     }
 
-    /// The connection is lost for both sides.
+    /// Breaks the connection for both sides.
     auto cut() -> void
     {
-        this->deliver(broken());
+        this->deliver(connection_lost());
         this->is_cut = true;
         if (this->remote != nullptr) {
             this->remote->cancel();
@@ -86,17 +89,18 @@
     template <typename Action>
     auto forward(Action action) -> void
     {
-        this->next_order = std::max(this->next_order, this->net.time.now() + this->net.delay());
-        this->net.time.at(this->next_order, [self = this->shared_from_this(), action] {
+        this->next_control_time =
+            std::max(this->next_control_time, this->net.time.now() + this->net.delay());
+        this->net.time.at(this->next_control_time, [self = this->shared_from_this(), action] {
             if (self->remote != nullptr) {
                 action(*self->remote);
             }
         });
     }
 
-    auto pass(const messages::run_event& event) -> void
+    auto pass_to_sink(const messages::run_event& event) -> void
     {
-        if (this->has_ended && !this->passes_late) {
+        if (this->has_ended && !this->passes_late_events) {
             return;
         }
         this->has_ended = this->has_ended || !std::holds_alternative<messages::tokens_event>(event);
@@ -104,30 +108,31 @@
     }
 
     network& net;
-    life_ptr from;
+    process_ptr from;
     messages::run_sink sink;
-    const bool passes_late;
+    const bool passes_late_events;
     bool has_ended = false;
     bool is_cut = false;
     std::shared_ptr<messages::run_handle> remote;
-    common::time_point next_event{};
-    common::time_point next_order{};
+    common::time_point next_event_time{};
+    common::time_point next_control_time{};
 };
 
-auto some_time(const network& net) -> common::duration
+auto random_fault_delay(const network& net) -> common::duration
 {
     return std::chrono::microseconds(net.random() % fault_spread_us);
 }
 
-auto late_by(const network& net) -> common::duration
+auto random_extra_delay(const network& net) -> common::duration
 {
-    const auto most = static_cast<std::uint64_t>(net.faults.longest_delay.count());
-    return net.chance(net.faults.late) ? common::duration(net.random() % most) : common::duration{};
+    const auto max_extra_delay = static_cast<std::uint64_t>(net.faults.max_delay.count());
+    return net.chance(net.faults.delayed) ? common::duration(net.random() % max_extra_delay)
+                                          : common::duration{};
 }
 
-auto arrive(
+auto deliver_run(
     network& net,
-    const std::shared_ptr<run_call>& call,
+    const std::shared_ptr<simulated_run>& call,
     const messages::rpc_address& to,
     const messages::run_request& request) -> void
 {
@@ -141,123 +146,127 @@
     if (net.on_run) {
         net.on_run(to, request);
     }
-    call->take(target, request);
+    call->start_on(target, request);
 }
 
-/// Sends the run, with what goes wrong on its way.
+/// Sends the run and injects the network faults.
 auto send_run(
     network& net,
-    const life_ptr& from,
+    const process_ptr& from,
     const messages::rpc_address& to,
     const messages::run_request& request,
     messages::run_sink sink) -> std::shared_ptr<messages::run_handle>
 {
-    const auto call = std::make_shared<run_call>(net, from, std::move(sink));
+    const auto call = std::make_shared<simulated_run>(net, from, std::move(sink));
     const auto on_arrival = [&net, call, to, request] {
-        arrive(net, call, to, request);
+        deliver_run(net, call, to, request);
     };
     const auto now = net.time.now();
-    const auto trip = now + net.delay() + late_by(net);
+    const auto arrival_time = now + net.delay() + random_extra_delay(net);
     if (net.chance(net.faults.lost)) {
-        // The entry sees a lost connection; the call may still arrive long after, or never.
-        net.time.at(now + some_time(net), [call] { call->deliver(broken()); });
+        // The entry sees a lost connection; the call may still arrive much later, or never.
+        net.time.at(now + random_fault_delay(net), [call] { call->deliver(connection_lost()); });
         if (net.chance(500)) {
-            net.time.at(trip + some_time(net), on_arrival);
+            net.time.at(arrival_time + random_fault_delay(net), on_arrival);
         }
         return call;
     }
-    net.time.at(trip, on_arrival);
+    net.time.at(arrival_time, on_arrival);
     if (net.chance(net.faults.lost)) {
-        net.time.at(trip + some_time(net), [call] { call->cut(); });
+        net.time.at(arrival_time + random_fault_delay(net), [call] { call->cut(); });
     }
-    if (net.chance(net.faults.doubled)) {
-        const auto copy = std::make_shared<run_call>(net, from, [](const auto&) {});
-        net.time.at(
-            trip + some_time(net), [&net, copy, to, request] { arrive(net, copy, to, request); });
+    if (net.chance(net.faults.duplicated)) {
+        const auto copy = std::make_shared<simulated_run>(net, from, [](const auto&) {});
+        net.time.at(arrival_time + random_fault_delay(net), [&net, copy, to, request] {
+            deliver_run(net, copy, to, request);
+        });
     }
     return call;
 }
 
-/// One question and its answer, of which each may be lost, late or doubled.
+/// Sends a query and returns its answer. Either may be lost; the query may also be delayed or
+/// duplicated.
 template <typename Query, typename Answer, typename Service>
 auto send_query(
     network& net,
-    const life_ptr& from,
+    const process_ptr& from,
     const messages::rpc_address& to,
     const Query& query,
     messages::answer_hook<Answer> done,
     Service service) -> void
 {
     using answered = common::result<Answer>;
-    const auto once = std::make_shared<messages::answer_hook<Answer>>(std::move(done));
-    const auto give = [&net, from, once](answered answer) {
-        from->at(net.time.now() + net.delay(), [once, answer = std::move(answer)] {
-            if (*once) {
-                std::exchange(*once, nullptr)(answer);
+    const auto pending_hook = std::make_shared<messages::answer_hook<Answer>>(std::move(done));
+    const auto reply = [&net, from, pending_hook](answered answer) {
+        from->at(net.time.now() + net.delay(), [pending_hook, answer = std::move(answer)] {
+            if (*pending_hook) {
+                std::exchange(*pending_hook, nullptr)(answer);
             }
         });
     };
     const auto lost = failure(result_code::server_lost);
-    const auto arrival = [&net, to, query, service, give, lost] {
+    const auto arrival = [&net, to, query, service, reply, lost] {
         const auto target = net.find(to);
         if (!target || !service(*target)) {
-            give(failure(result_code::peer_unavailable));
+            reply(failure(result_code::peer_unavailable));
             return;
         }
         const auto is_lost = net.chance(net.faults.lost);
         if (is_lost) {
-            give(lost);
+            reply(lost);
         }
-        target->connections.push_back([give, lost] { give(lost); });
-        target->owner->post([target, query, service, give, is_lost] {
-            service (*target)(query, [give, is_lost](answered answer) {
+        target->connections.push_back([reply, lost] { reply(lost); });
+        target->owner->post([target, query, service, reply, is_lost] {
+            service (*target)(query, [reply, is_lost](answered answer) {
                 if (!is_lost) {
-                    give(std::move(answer));
+                    reply(std::move(answer));
                 }
             });
         });
     };
-    const auto trip = net.time.now() + net.delay() + late_by(net);
+    const auto arrival_time = net.time.now() + net.delay() + random_extra_delay(net);
     if (net.chance(net.faults.lost)) {
-        give(lost);
+        reply(lost);
         return;
     }
-    net.time.at(trip, arrival);
-    if (net.chance(net.faults.doubled)) {
-        net.time.at(trip + some_time(net), arrival);
+    net.time.at(arrival_time, arrival);
+    if (net.chance(net.faults.duplicated)) {
+        net.time.at(arrival_time + random_fault_delay(net), arrival);
     }
 }
 
 } // namespace
 
-auto life::suspend(common::duration span) -> void
+auto simulated_process::suspend(common::duration span) -> void
 {
     this->suspended_until = std::max(this->suspended_until, this->time.now() + span);
-    this->time.at(this->suspended_until, [self = this->shared_from_this()] { self->wake(); });
+    this->time.at(
+        this->suspended_until, [self = this->shared_from_this()] { self->run_deferred(); });
 }
 
-/// What came first runs first; else pieces of one answer would change their order.
-auto life::wake() -> void
+/// Runs deferred actions in order of arrival, so that the chunks of an answer stay in order.
+auto simulated_process::run_deferred() -> void
 {
-    while (!this->ended && !this->put_off.empty() && this->time.now() >= this->suspended_until) {
-        const auto action = std::move(this->put_off.front());
-        this->put_off.pop_front();
+    while (!this->ended && !this->deferred_actions.empty() &&
+           this->time.now() >= this->suspended_until) {
+        const auto action = std::move(this->deferred_actions.front());
+        this->deferred_actions.pop_front();
         action();
     }
 }
 
-auto life::at(common::time_point when, std::function<auto()->void> action) -> void
+auto simulated_process::at(common::time_point when, std::function<auto()->void> action) -> void
 {
     this->time.at(when, [self = this->shared_from_this(), action = std::move(action)]() mutable {
         if (self->ended) {
             return;
         }
-        self->put_off.push_back(std::move(action));
-        self->wake();
+        self->deferred_actions.push_back(std::move(action));
+        self->run_deferred();
     });
 }
 
-auto life::timers() -> common::timer_hook
+auto simulated_process::timers() -> common::timer_hook
 {
     return [self = this->shared_from_this()](
                common::time_point when, std::function<auto()->void> action) {
@@ -286,10 +295,10 @@
 
 auto network::delay() const -> common::duration
 {
-    return shortest_trip + std::chrono::microseconds(this->random() % trip_spread_us);
+    return min_one_way_delay + std::chrono::microseconds(this->random() % one_way_delay_spread_us);
 }
 
-auto network::agents_for(const life_ptr& from) -> messages::agent_calls
+auto network::agent_calls_for(const process_ptr& from) -> messages::agent_calls
 {
     messages::agent_calls calls;
     calls.run = [this, from](const auto& to, messages::run_request request, auto sink) {
@@ -310,7 +319,7 @@
     return calls;
 }
 
-auto network::peers_for(const life_ptr& from) -> messages::peer_calls
+auto network::peer_calls_for(const process_ptr& from) -> messages::peer_calls
 {
     messages::peer_calls calls;
     calls.pull = [this, from](const auto& to, messages::configuration_pull query, auto done) {
--- a/source/unit_tests/whole_path/network.hpp
+++ b/source/unit_tests/whole_path/network.hpp
@@ -13,19 +13,20 @@
 #include "messages/channel.hpp"
 #include "platform/fake_time.hpp"
 
-/// Connections between processes that all live in one test, on virtual time.
+/// Simulated connections between the processes of a test, on virtual time.
 namespace reedramp::whole_path {
 
-/// One life of one process. What it waits for is dropped when it is killed, and put off while its
-/// host is suspended.
-class life : public std::enable_shared_from_this<life> {
+/// Execution context of one process. Its scheduled actions are dropped when the process is killed,
+/// and deferred while its host is suspended.
+class simulated_process : public std::enable_shared_from_this<simulated_process> {
 public:
-    explicit life(platform::fake_time& clock) : time(clock) {}
+    explicit simulated_process(platform::fake_time& clock) : time(clock) {}
 
     auto kill() -> void { this->ended = true; }
 
-    /// For the end of a test: lets a killed process let go of what it still held.
-    auto revive() -> void { this->ended = false; }
+    /// Lets actions of a killed process run again, so that it can release its resources at the end
+    /// of a test.
+    auto resume_actions() -> void { this->ended = false; }
 
     [[nodiscard]] auto is_ended() const -> bool { return this->ended; }
 
@@ -40,36 +41,36 @@
     auto timers() -> common::timer_hook;
 
 private:
-    auto wake() -> void;
+    auto run_deferred() -> void;
 
     platform::fake_time& time;
     bool ended = false;
     common::time_point suspended_until{};
-    std::deque<std::function<auto()->void>> put_off;
+    std::deque<std::function<auto()->void>> deferred_actions;
 };
 
-using life_ptr = std::shared_ptr<life>;
+using process_ptr = std::shared_ptr<simulated_process>;
 
-/// What a process offers at its address.
+/// Services of a process at its address.
 struct endpoint {
-    life_ptr owner;
+    process_ptr owner;
     messages::agent_service agent;
     messages::peer_service peer;
-    /// Calls under way that lose their connection when the process ends.
+    /// Callbacks that fail the calls in flight when the process ends.
     std::vector<std::function<auto()->void>> connections = {};
 };
 
 using endpoint_ptr = std::shared_ptr<endpoint>;
 
-/// Chances in thousandths.
+/// Fault probabilities, in thousandths.
 struct network_faults {
-    /// A call loses its connection before or after it was taken.
+    /// The connection breaks before or after the call is accepted.
     std::uint64_t lost = 0;
-    /// A call, or a piece of an answer, comes twice.
-    std::uint64_t doubled = 0;
-    /// A call arrives up to `longest_delay` later than others.
-    std::uint64_t late = 0;
-    common::duration longest_delay = std::chrono::seconds(2);
+    /// A call, or a chunk of an answer, is delivered twice.
+    std::uint64_t duplicated = 0;
+    /// A call is delayed by up to `max_delay` in addition to the usual delay.
+    std::uint64_t delayed = 0;
+    common::duration max_delay = std::chrono::seconds(2);
 };
 
 class network {
@@ -79,23 +80,23 @@
     {
     }
 
-    auto open(const messages::rpc_address& at, endpoint_ptr offered) -> void
+    auto open(const messages::rpc_address& at, endpoint_ptr new_endpoint) -> void
     {
-        this->endpoints[at] = std::move(offered);
+        this->endpoints[at] = std::move(new_endpoint);
     }
 
-    /// The process behind this address has ended: its connections break.
+    /// Removes the endpoint of a process that has ended and breaks its connections.
     auto close(const messages::rpc_address& at) -> void;
 
-    auto agents_for(const life_ptr& from) -> messages::agent_calls;
-    auto peers_for(const life_ptr& from) -> messages::peer_calls;
+    auto agent_calls_for(const process_ptr& from) -> messages::agent_calls;
+    auto peer_calls_for(const process_ptr& from) -> messages::peer_calls;
 
     [[nodiscard]] auto chance(std::uint64_t permille) const -> bool
     {
         return this->random() % 1000 < permille;
     }
 
-    /// One way of one message.
+    /// Random one-way delay of a message.
     [[nodiscard]] auto delay() const -> common::duration;
 
     [[nodiscard]] auto find(const messages::rpc_address& at) const -> endpoint_ptr;
@@ -103,7 +104,7 @@
     platform::fake_time& time;
     common::random_hook random;
     network_faults faults;
-    /// Sees each run that arrives at an agent.
+    /// Called for each run that arrives at an agent.
     std::function<auto(const messages::rpc_address& at, const messages::run_request& run)->void>
         on_run = nullptr;
 
--- a/source/unit_tests/whole_path/schedule.cpp
+++ b/source/unit_tests/whole_path/schedule.cpp
@@ -4,9 +4,9 @@
 #include <utility>
 
 #include "calls.hpp"
-#include "inventory.hpp"
+#include "configuration_records.hpp"
 
-/// The calls and faults of a schedule; schedule_checks.cpp has the checks.
+/// Calls and faults of a schedule; the checks are in schedule_checks.cpp.
 namespace reedramp::whole_path {
 
 namespace {
@@ -15,11 +15,11 @@
 constexpr int steps = 50;
 constexpr std::uint64_t longest_step_ms = 300;
 constexpr std::uint64_t fault_permille = 250;
-/// Callers' deadlines are 5 s; a bill that met a fault may wait 5 s for its next append.
+/// Callers' deadlines are 5 s, and a bill whose append failed may wait 5 s for the retry.
 constexpr common::duration settling_time = 14s;
 constexpr std::uint64_t longest_pause_ms = 3000;
-/// A withdrawal that was taken while the log was down may be appended late; from then on it has to
-/// be in force everywhere within this time.
+/// A withdrawal accepted while the log was down may be appended late; it must be in force
+/// everywhere within this time after the append.
 constexpr common::duration in_force_within = 6s;
 
 const std::vector<std::string> entry_names{"e1", "e2"};
@@ -32,9 +32,9 @@
 
 } // namespace
 
-schedule::schedule(std::uint64_t seed, mutation fault) : all(seed, fault)
+schedule::schedule(std::uint64_t seed, mutation fault) : test_fleet(seed, fault)
 {
-    this->all.on_start = [this](const work_start& item) {
+    this->test_fleet.on_start = [this](const work_start& item) {
         this->check_start(item);
     };
 }
@@ -45,54 +45,55 @@
     for (auto count = 0; count < steps; ++count) {
         this->step();
     }
-    this->heal();
+    this->recover();
     this->check_end();
-    return this->found;
+    return this->violations;
 }
 
 auto schedule::start() -> void
 {
-    this->all.gathers_bills = this->draw(2) == 0;
+    this->test_fleet.forwards_bills = this->draw(2) == 0;
     for (const auto& name : entry_names) {
-        this->all.start_entry(name);
+        this->test_fleet.start_entry(name);
     }
     for (const auto& name : agent_names) {
-        this->all.start_agent(name);
+        this->test_fleet.start_agent(name);
     }
-    this->all.hosts.set_lag(this->draw(2) == 0 ? 30s : 1s);
-    this->all.run(start_time);
-    this->all.net.faults.lost = this->draw(60);
-    this->all.net.faults.doubled = this->draw(60);
-    this->all.net.faults.late = this->draw(60);
-    this->all.broken_calls = this->draw(60);
+    this->test_fleet.hosts.set_lag(this->draw(2) == 0 ? 30s : 1s);
+    this->test_fleet.run(start_time);
+    this->test_fleet.net.faults.lost = this->draw(60);
+    this->test_fleet.net.faults.duplicated = this->draw(60);
+    this->test_fleet.net.faults.delayed = this->draw(60);
+    this->test_fleet.backend_failure_permille = this->draw(60);
 }
 
 auto schedule::step() -> void
 {
     if (this->draw(1000) < fault_permille) {
-        this->make_fault();
+        this->inject_fault();
     }
     else {
         this->make_call();
     }
-    this->all.run(milliseconds(1 + this->draw(longest_step_ms)));
+    this->test_fleet.run(milliseconds(1 + this->draw(longest_step_ms)));
     this->check_offsets();
 }
 
-/// Ends all faults, starts what has ended, and lets everything come to its end.
-auto schedule::heal() -> void
+/// Removes all faults, restarts ended processes, and waits until all requests have ended and the
+/// configuration log no longer grows.
+auto schedule::recover() -> void
 {
-    this->all.net.faults = {};
-    this->all.broken_calls = 0;
-    this->all.log.set_faults({});
-    this->revive();
-    auto head = this->all.log.head(platform::streams::configuration);
-    auto end = this->all.time.now() + settling_time;
-    while (this->all.time.now() < end) {
-        this->all.run(1s);
+    this->test_fleet.net.faults = {};
+    this->test_fleet.backend_failure_permille = 0;
+    this->test_fleet.log.set_faults({});
+    this->restart_ended();
+    auto head = this->test_fleet.log.head(platform::streams::configuration);
+    auto end = this->test_fleet.time.now() + settling_time;
+    while (this->test_fleet.time.now() < end) {
+        this->test_fleet.run(1s);
         this->check_offsets();
-        const auto newest = this->all.log.head(platform::streams::configuration);
-        end = newest == head ? end : std::max(end, this->all.time.now() + in_force_within);
+        const auto newest = this->test_fleet.log.head(platform::streams::configuration);
+        end = newest == head ? end : std::max(end, this->test_fleet.time.now() + in_force_within);
         head = newest;
     }
 }
@@ -109,25 +110,25 @@
         &schedule::call_note,
         &schedule::call_note,
         &schedule::open_sessions,
-        &schedule::leave_one};
+        &schedule::disconnect_caller};
     (this->*kinds[this->draw(kinds.size())])();
 }
 
 auto schedule::send(const std::string& mark, http::request request) -> void
 {
     const auto host = this->one_of(entry_names);
-    const auto& node = this->all.entries.at(host);
-    if (node->alive->is_ended() || node->closed) {
+    const auto& node = this->test_fleet.entries.at(host);
+    if (node->process->is_ended() || node->closed) {
         return;
     }
     const auto is_chat = request.target == "/v1/chat/completions";
-    this->calls.push_back({mark, node, this->all.call(host, std::move(request)), is_chat});
+    this->calls.push_back({mark, node, this->test_fleet.call(host, std::move(request)), is_chat});
 }
 
 auto schedule::call_chat() -> void
 {
     const std::string organisation = this->draw(3) == 0 ? "two" : "one";
-    const auto mark = organisation + "-" + std::to_string(++this->marks);
+    const auto mark = organisation + "-" + std::to_string(++this->mark_count);
     const auto model = this->draw(4) == 0 ? this->one_of({"v1", "v2", "v3"}) : "m";
     this->send(mark, chat(organisation, mark, {this->draw(2) == 0, {}, model}));
 }
@@ -140,16 +141,17 @@
     const auto& opened = *this->sessions[this->draw(this->sessions.size())];
     const auto token = opened.header("Reedramp-Session");
     if (!token.empty()) {
-        const auto mark = "one-" + std::to_string(++this->marks);
-        this->pinned_marks[mark] = opened.header("Reedramp-Version");
+        const auto mark = "one-" + std::to_string(++this->mark_count);
+        this->pinned_versions[mark] = opened.header("Reedramp-Version");
         this->send(mark, chat("one", mark, {this->draw(2) == 0, token}));
     }
 }
 
-/// A caller's tool may send the same call to both entries, at once or after a while.
+/// Sends a service call, sometimes repeatedly with the same idempotency key and to either entry, as
+/// a caller's client that retries does.
 auto schedule::call_note() -> void
 {
-    const auto mark = "one-" + std::to_string(++this->marks);
+    const auto mark = "one-" + std::to_string(++this->mark_count);
     const std::string method = this->draw(3) == 0 ? "GET" : "POST";
     if (method == "POST") {
         this->at_most_once_marks.insert(mark);
@@ -158,33 +160,34 @@
     const auto copies = key.empty() ? 1 : 1 + this->draw(3);
     for (std::uint64_t copy = 0; copy < copies; ++copy) {
         this->send(mark, note_call("one", mark, key, method));
-        this->all.run(this->draw(2) == 0 ? 0s : milliseconds(this->draw(longest_step_ms)));
+        this->test_fleet.run(this->draw(2) == 0 ? 0s : milliseconds(this->draw(longest_step_ms)));
     }
 }
 
-/// Half of the sessions have a name that the caller chose, and are opened at both entries.
+/// Opens a session at each entry; half of the time both requests have the same name chosen by the
+/// caller.
 auto schedule::open_sessions() -> void
 {
     const auto name = this->draw(2) == 0 ? "talk-" + std::to_string(this->draw(3)) : std::string();
     for (const auto& host : entry_names) {
-        if (!this->all.entries.at(host)->alive->is_ended()) {
-            this->sessions.push_back(this->all.call(host, open_session("one", name)));
+        if (!this->test_fleet.entries.at(host)->process->is_ended()) {
+            this->sessions.push_back(this->test_fleet.call(host, open_session("one", name)));
         }
     }
-    this->all.run(100ms);
+    this->test_fleet.run(100ms);
 }
 
-auto schedule::leave_one() -> void
+auto schedule::disconnect_caller() -> void
 {
     if (this->calls.empty()) {
         return;
     }
     auto& call = this->calls[this->draw(this->calls.size())];
-    if (call.caller->finished || call.has_left) {
+    if (call.caller->finished || call.has_disconnected) {
         return;
     }
-    call.has_left = true;
-    call.at->alive->post([caller = call.caller] {
+    call.has_disconnected = true;
+    call.at->process->post([caller = call.caller] {
         if (!caller->finished) {
             caller->disconnect();
         }
@@ -193,75 +196,78 @@
 
 // ---- faults
 
-auto schedule::make_fault() -> void
+auto schedule::inject_fault() -> void
 {
     static const std::vector<void (schedule::*)()> kinds{
-        &schedule::disturb_entry,
-        &schedule::disturb_entry,
-        &schedule::disturb_agent,
-        &schedule::disturb_agent,
-        &schedule::disturb_log,
+        &schedule::inject_entry_fault,
+        &schedule::inject_entry_fault,
+        &schedule::inject_agent_fault,
+        &schedule::inject_agent_fault,
+        &schedule::inject_log_fault,
         &schedule::change_configuration,
-        &schedule::revive};
+        &schedule::restart_ended};
     (this->*kinds[this->draw(kinds.size())])();
 }
 
-/// Kills or suspends the process; false if it is to leave gracefully instead.
-auto schedule::disturb(life& alive, const std::function<auto()->void>& kill) -> bool
+/// Kills or suspends the process; false if the caller should stop it gracefully instead.
+auto schedule::kill_or_suspend(simulated_process& process, const std::function<auto()->void>& kill)
+    -> bool
 {
     switch (this->draw(3)) {
     case 0:
         kill();
         return true;
     case 1:
-        alive.suspend(milliseconds(this->draw(longest_pause_ms)));
+        process.suspend(milliseconds(this->draw(longest_pause_ms)));
         return true;
     default:
         return false;
     }
 }
 
-auto schedule::disturb_entry() -> void
+auto schedule::inject_entry_fault() -> void
 {
     const auto name = this->one_of(entry_names);
-    const auto node = this->all.entries.at(name);
-    if (node->alive->is_ended()) {
-        this->all.start_entry(name);
+    const auto node = this->test_fleet.entries.at(name);
+    if (node->process->is_ended()) {
+        this->test_fleet.start_entry(name);
         return;
     }
-    const auto is_done = this->disturb(*node->alive, [&] { this->all.kill_entry(name); });
+    const auto is_done =
+        this->kill_or_suspend(*node->process, [&] { this->test_fleet.kill_entry(name); });
     if (!is_done && !node->leaving) {
-        this->all.stop_entry(name);
+        this->test_fleet.stop_entry(name);
         this->stopped_entries.push_back(node);
     }
 }
 
-auto schedule::disturb_agent() -> void
+auto schedule::inject_agent_fault() -> void
 {
     const auto name = this->one_of(agent_names);
-    const auto node = this->all.agents.at(name);
-    if (node->alive->is_ended()) {
-        this->all.start_agent(name);
+    const auto node = this->test_fleet.agents.at(name);
+    if (node->process->is_ended()) {
+        this->test_fleet.start_agent(name);
         return;
     }
-    const auto is_done = this->disturb(*node->alive, [&] { this->all.kill_agent(name); });
+    const auto is_done =
+        this->kill_or_suspend(*node->process, [&] { this->test_fleet.kill_agent(name); });
     if (!is_done && !node->drained_at && node->core) {
-        this->all.drain_agent(name);
+        this->test_fleet.drain_agent(name);
         this->drained_agents.push_back(node);
     }
 }
 
-auto schedule::disturb_log() -> void
+auto schedule::inject_log_fault() -> void
 {
     platform::log_faults faults;
     faults.down = this->draw(2) == 0;
     faults.slow = milliseconds(this->draw(300));
     faults.lose_answer_every = this->draw(2) == 0 ? 2 : 0;
     faults.lose_append_every = this->draw(2) == 0 ? 3 : 0;
-    this->all.log.set_faults(faults);
+    this->test_fleet.log.set_faults(faults);
 }
 
-/// Operators at both entries change the same price, or one withdraws a version.
+/// Changes the same price at both entries at once, or withdraws a version.
 auto schedule::change_configuration() -> void
 {
     if (this->draw(3) == 0) {
@@ -270,54 +276,54 @@
     }
     const auto price = 9'000'000 + static_cast<int>(this->draw(1000));
     for (const auto& host : entry_names) {
-        if (this->all.entries.at(host)->alive->is_ended()) {
+        if (this->test_fleet.entries.at(host)->process->is_ended()) {
             continue;
         }
-        const auto id = "price-" + std::to_string(++this->marks);
-        this->all.publish(host, id, put_price("v1", price), [this, id](auto answer) {
+        const auto id = "price-" + std::to_string(++this->mark_count);
+        this->test_fleet.publish(host, id, put_price("v1", price), [this, id](auto answer) {
             this->published.emplace(id, std::move(answer));
         });
     }
 }
 
-/// v1 is the only version of organisation "two" and stays. Where the log is down the withdrawal
-/// goes from process to process.
+/// Withdraws v2 or v3; v1 stays, because organisation "two" may use no other version. While the log
+/// is down, the withdrawal spreads between the processes instead.
 auto schedule::withdraw() -> void
 {
     const auto host = this->one_of(entry_names);
-    const auto& node = *this->all.entries.at(host);
+    const auto& node = *this->test_fleet.entries.at(host);
     const auto version = this->one_of({"v2", "v3"});
-    if (node.alive->is_ended()) {
+    if (node.process->is_ended()) {
         return;
     }
-    const auto id = "withdraw-" + std::to_string(++this->marks);
-    if (this->all.log.faults().down) {
+    const auto id = "withdraw-" + std::to_string(++this->mark_count);
+    if (this->test_fleet.log.faults().down) {
         node.follower->withdraw(common::version_id(version), common::record_id(id), "anna");
         return;
     }
-    this->all.publish(host, id, R"({"withdraw":")" + version + "\"}", [](const auto&) {});
+    this->test_fleet.publish(host, id, R"({"withdraw":")" + version + "\"}", [](const auto&) {});
 }
 
-/// Starts what has ended; the platform replaces what is leaving.
-auto schedule::revive() -> void
+/// Restarts ended processes and replaces drained agents that are idle, as the platform does.
+auto schedule::restart_ended() -> void
 {
     for (const auto& name : entry_names) {
-        if (this->all.entries.at(name)->alive->is_ended()) {
-            this->all.start_entry(name);
+        if (this->test_fleet.entries.at(name)->process->is_ended()) {
+            this->test_fleet.start_entry(name);
         }
     }
     for (const auto& name : agent_names) {
-        const auto& node = *this->all.agents.at(name);
+        const auto& node = *this->test_fleet.agents.at(name);
         const auto is_done = node.drained_at && node.core->is_idle();
-        if (is_done && !node.alive->is_ended()) {
-            this->all.kill_agent(name);
+        if (is_done && !node.process->is_ended()) {
+            this->test_fleet.kill_agent(name);
         }
-        if (node.alive->is_ended()) {
-            this->all.start_agent(name);
+        if (node.process->is_ended()) {
+            this->test_fleet.start_agent(name);
         }
     }
-    if (this->all.fault == mutation::reverting_follower) {
-        this->all.forget_configuration("e1");
+    if (this->test_fleet.fault == mutation::configuration_rollback) {
+        this->test_fleet.reset_configuration("e1");
     }
 }
 
