--- a/source/standin/faults.hpp
+++ b/source/standin/faults.hpp
@@ -16,9 +16,9 @@
     bool down = false;
     /// Delay added to each response.
     std::uint32_t slow_ms = 0;
-    /// Every n-th call takes effect, but its connection is closed without a response.
+    /// Every n-th call loses its response: it takes effect, but the connection is closed.
     std::uint32_t lose_answer_every = 0;
-    /// Every n-th append has no effect, and its connection is closed (log).
+    /// Every n-th append is lost: it has no effect, and the connection is closed (log).
     std::uint32_t lose_append_every = 0;
     /// Appends above this rate are rejected with 429 (log).
     std::uint32_t appends_per_second = 0;
