--- a/source/bench/client/closed_loop.cpp
+++ b/source/bench/client/closed_loop.cpp
@@ -19,11 +19,12 @@
 constexpr std::uint16_t status_ok = 200;
 constexpr std::string_view usage_key = "\"completion_tokens\":";
 constexpr std::string_view stream_end = "data: [DONE]";
-/// The usage and the end of a stream are within its last bytes.
+/// Bytes kept from the end of an answer; they contain the usage and the end marker of a stream.
 constexpr std::size_t kept_tail = 2048;
 
-/// Completion tokens by the usage of a whole answer; nothing if it is not whole.
-auto tokens_of(std::string_view text, bool stream) -> std::optional<std::uint64_t>
+/// Reads the number of completion tokens from the usage in an answer; empty if the answer is
+/// incomplete.
+auto parse_completion_tokens(std::string_view text, bool stream) -> std::optional<std::uint64_t>
 {
     if (stream && text.find(stream_end) == std::string_view::npos) {
         return std::nullopt;
@@ -38,11 +39,12 @@
     return read.ec == std::errc{} ? std::optional(found) : std::nullopt;
 }
 
-/// All workers of one run; they share its counters under one lock.
+/// Workers of one run; the shared counters are guarded by `lock`.
 class closed_loop : public std::enable_shared_from_this<closed_loop> {
 public:
-    closed_loop(loop_settings settings, std::vector<std::shared_ptr<http::client>> senders)
-        : wanted(std::move(settings)), clients(std::move(senders)), left(this->wanted.workers)
+    closed_loop(loop_settings settings, std::vector<std::shared_ptr<http::client>> given_clients)
+        : wanted(std::move(settings)), clients(std::move(given_clients)),
+          active_workers(this->wanted.workers)
     {
         this->result.targets.resize(this->wanted.targets.size());
     }
@@ -50,39 +52,39 @@
     auto run() -> loop_result
     {
         auto ended = this->finished.get_future();
-        this->begun = steady::now();
+        this->started_at = steady::now();
         for (std::size_t worker = 0; worker < this->wanted.workers; ++worker) {
-            this->ask_next(worker, worker);
+            this->send_next(worker, worker);
         }
         ended.wait();
-        const std::chrono::duration<double> took = steady::now() - this->begun;
+        const std::chrono::duration<double> took = steady::now() - this->started_at;
         this->result.seconds = took.count();
         return std::move(this->result);
     }
 
 private:
-    auto ask_next(std::size_t worker, std::size_t turn) -> void
+    auto send_next(std::size_t worker, std::size_t turn) -> void
     {
         const auto all = this->wanted.requests + this->wanted.warm_up;
         std::size_t number = 0;
         {
             const std::lock_guard guard(this->lock);
-            number = this->asked++;
+            number = this->sent_count++;
             if (number == this->wanted.warm_up) {
-                this->begun = steady::now();
+                this->started_at = steady::now();
             }
             if (number >= all) {
-                this->left -= 1;
-                if (this->left == 0) {
+                this->active_workers -= 1;
+                if (this->active_workers == 0) {
                     this->finished.set_value();
                 }
                 return;
             }
         }
-        this->ask(worker, turn, number);
+        this->send_chat(worker, turn, number);
     }
 
-    auto ask(std::size_t worker, std::size_t turn, std::size_t number) -> void
+    auto send_chat(std::size_t worker, std::size_t turn, std::size_t number) -> void
     {
         const auto index = turn % this->wanted.targets.size();
         const auto tail = std::make_shared<std::string>();
@@ -98,19 +100,19 @@
                              const common::result<http::response>& answer) {
             const std::chrono::duration<double, std::micro> took = steady::now() - sent;
             const auto good = answer && answer->status == status_ok;
-            const auto tokens =
-                good ? tokens_of(*tail, self->wanted.stream) : std::optional<std::uint64_t>{};
+            const auto tokens = good ? parse_completion_tokens(*tail, self->wanted.stream)
+                                     : std::optional<std::uint64_t>{};
             if (!tokens) {
-                self->show_failure(answer, *tail);
+                self->print_first_failure(answer, *tail);
             }
             if (number >= self->wanted.warm_up) {
                 self->count(index, took.count(), tokens);
             }
-            self->ask_next(worker, turn + 1);
+            self->send_next(worker, turn + 1);
         };
         this->clients[worker % this->clients.size()]->send(
             this->wanted.targets[index].where,
-            this->chat(this->wanted.targets[index].model, number),
+            this->make_chat_request(this->wanted.targets[index].model, number),
             std::move(events));
     }
 
@@ -126,11 +128,12 @@
         target.tokens += *tokens;
     }
 
-    /// Only the first one: a broken run fails in all its requests alike.
-    auto show_failure(const common::result<http::response>& answer, const std::string& tail) -> void
+    /// Prints only the first failure, since all requests of a broken run usually fail the same way.
+    auto print_first_failure(const common::result<http::response>& answer, const std::string& tail)
+        -> void
     {
         const std::lock_guard guard(this->lock);
-        if (std::exchange(this->has_shown_failure, true)) {
+        if (std::exchange(this->has_printed_failure, true)) {
             return;
         }
         const auto why = answer ? "status " + std::to_string(answer->status) + " " + tail
@@ -138,7 +141,8 @@
         std::fprintf(stderr, "first failure: %s\n", why.c_str());
     }
 
-    [[nodiscard]] auto chat(const std::string& model, std::size_t number) const -> http::request
+    [[nodiscard]] auto make_chat_request(const std::string& model, std::size_t number) const
+        -> http::request
     {
         http::request made;
         made.method = "POST";
@@ -159,11 +163,11 @@
     loop_settings wanted;
     std::vector<std::shared_ptr<http::client>> clients;
     std::mutex lock;
-    std::size_t asked = 0;
-    std::size_t left;
-    steady::time_point begun;
+    std::size_t sent_count = 0;
+    std::size_t active_workers;
+    steady::time_point started_at;
     loop_result result;
-    bool has_shown_failure = false;
+    bool has_printed_failure = false;
     std::promise<void> finished;
 };
 
--- a/source/bench/client/main.cpp
+++ b/source/bench/client/main.cpp
@@ -10,7 +10,8 @@
 #include "closed_loop.hpp"
 #include "daemon/io_pool.hpp"
 
-/// Client of `tools/bench`: chats in a closed loop; prints one line of JSON for each target.
+/// Load generator for `tools/bench`: sends chat requests in a closed loop and prints one line of
+/// JSON per target.
 namespace {
 
 using namespace reedramp;
@@ -33,15 +34,22 @@
 auto read_command(int count, char** arguments) -> command
 {
     using size_arg = TCLAP::ValueArg<std::size_t>;
-    TCLAP::CmdLine parser("Chats in a closed loop", ' ', "1", false);
+    TCLAP::CmdLine parser("Sends chat requests in a closed loop", ' ', "1", false);
     TCLAP::MultiArg<std::string> targets("", "target", "address:port=model", true, "text", parser);
-    TCLAP::ValueArg<std::string> key("", "key", "The callers' API key", false, "", "text", parser);
-    size_arg workers("", "workers", "Requests under way", false, 1, "number", parser);
-    size_arg requests("", "requests", "Counted requests", false, 1000, "number", parser);
-    size_arg warm_up("", "warm-up", "Requests before these", false, 0, "number", parser);
-    size_arg tokens("", "tokens", "Tokens of an answer", false, 1, "number", parser);
-    size_arg threads("", "threads", "Threads of the client", false, 1, "number", parser);
-    TCLAP::SwitchArg stream("", "stream", "Ask for streams", parser);
+    TCLAP::ValueArg<std::string> key("", "key", "API key of the caller", false, "", "text", parser);
+    size_arg workers("", "workers", "Requests in flight", false, 1, "number", parser);
+    size_arg requests("", "requests", "Number of measured requests", false, 1000, "number", parser);
+    size_arg warm_up(
+        "",
+        "warm-up",
+        "Number of requests sent before the measured ones",
+        false,
+        0,
+        "number",
+        parser);
+    size_arg tokens("", "tokens", "Maximum tokens per answer", false, 1, "number", parser);
+    size_arg threads("", "threads", "Number of client threads", false, 1, "number", parser);
+    TCLAP::SwitchArg stream("", "stream", "Request streamed answers", parser);
     parser.setExceptionHandling(false);
     parser.parse(count, arguments);
     command read;
--- a/source/bench/cluster.hpp
+++ b/source/bench/cluster.hpp
@@ -8,35 +8,35 @@
 
 namespace reedramp::bench {
 
-enum class method : std::uint8_t {
+enum class balancing_method : std::uint8_t {
     random,
     round_robin,
-    /// Least requests by reports that lag, plus what the entry sent since.
+    /// Fewest requests by the last periodic report, plus those that the entry sent since then.
     least_requests,
     probing,
-    /// One queue for each version that knows at once when a slot is free.
+    /// One central queue per version, which sees free slots without delay; a lower bound for waits.
     central,
-    /// Always the prefix's own server; the best that caches can do.
+    /// Always the preferred server of the prefix; an upper bound for cache hits.
     prefix_only,
 };
 
 struct run_options {
-    method how = method::probing;
+    balancing_method method = balancing_method::probing;
     double load = 0.8;
     double seconds = 120.0;
-    /// Requests before this are not counted.
+    /// Requests that arrive earlier than this, in seconds, are not counted.
     double warm_up = 20.0;
-    common::duration time_left = std::chrono::seconds(30);
+    common::duration time_limit = std::chrono::seconds(30);
     std::uint64_t seed = 1;
-    /// Server 0 is this many times slower.
-    double slowness = 1.0;
-    /// A data centre is lost after a half of the time.
+    /// Factor by which server 0 is slower than the others.
+    double slowdown = 1.0;
+    /// Fails a data centre halfway through the run.
     bool lose_data_centre = false;
-    /// The agents' queues know neither organisations nor deadlines.
-    bool first_come = false;
+    /// Agents' queues ignore organisations and deadlines.
+    bool first_come_first_served = false;
     /// Requests carry the hash of their prefix.
     bool use_prefix = false;
-    placement::server_selector_settings chooser;
+    placement::server_selector_settings selector;
     placement::probe_pool_settings pool;
     placement::fair_queue_settings queue;
 };
@@ -50,16 +50,17 @@
     std::size_t late = 0;
     std::size_t hits = 0;
     std::size_t probes = 0;
-    /// Seconds of slots spent on answers that came in time.
+    /// Slot seconds spent on answers that finished before their deadline.
     double useful_seconds = 0.0;
-    /// Seconds without caches of what came in time, and of what was offered, by organisation.
+    /// Run time in seconds, as if uncached, of requests answered in time and of all requests
+    /// offered, by organisation.
     std::vector<double> answered_work;
     std::vector<double> offered_work;
-    /// Waits of requests whose prompt is at least three times the mean.
+    /// Waits of requests whose prompt is more than three times the mean length.
     std::vector<double> large_waits;
 };
 
-/// Runs one method on one sequence of arrivals; the same seed gives all methods the same one.
-auto run_cluster(const shape& owner, const run_options& options) -> run_result;
+/// Simulates one balancing method; the same seed gives every method the same sequence of arrivals.
+auto run_cluster(const cluster_shape& shape, const run_options& options) -> run_result;
 
 } // namespace reedramp::bench
--- a/source/bench/cluster_state.hpp
+++ b/source/bench/cluster_state.hpp
@@ -14,8 +14,8 @@
 
 namespace reedramp::bench {
 
-/// Something that happens at one time of the virtual clock; of two at one time, the first asked for
-/// comes first.
+/// An action scheduled on the virtual clock. Events with the same time run in the order in which
+/// they were scheduled.
 struct event {
     common::time_point at;
     std::size_t order = 0;
@@ -29,17 +29,18 @@
 
 struct job_state {
     job item;
-    std::vector<std::size_t> tried;
+    std::vector<std::size_t> attempted;
     std::size_t server = 0;
-    std::size_t rounds = 0;
+    std::size_t probe_rounds = 0;
     bool done = false;
 };
 
-/// What one entry knows; no field holds a truth.
+/// State of one entry. Holds only what a real entry can observe, never the simulation's true
+/// values.
 struct entry_state {
     placement::probe_pool pool;
     placement::retry_budget budget;
-    std::vector<std::size_t> next_in_turn;
+    std::vector<std::size_t> next_round_robin;
     /// Requests sent to each server since its last report.
     std::vector<std::uint32_t> sent;
 };
--- a/source/bench/limits_bench.cpp
+++ b/source/bench/limits_bench.cpp
@@ -30,62 +30,63 @@
     /// Demand in units of the limit, before and after the fault.
     double demand_before = 2.0;
     double demand_after = 2.0;
-    /// Share of the entries that the fault stops, and after how long membership drops them.
+    /// Share of the entries that the fault stops, and seconds until membership removes them.
     double lost = 0.0;
     int dropped_after = 10;
     /// Share of the entries that start at the fault.
     double joining = 0.0;
-    /// After the fault only entries of the same half of the data centres hear each other.
+    /// After the fault, entries can only reach those in the same half of the data centres.
     bool split = false;
-    /// Each entry admits its equal part of the limit and nothing else.
-    bool fixed_parts = false;
+    /// Baseline: each entry admits a fixed, equal share of the limit.
+    bool fixed_shares = false;
 };
 
 class fleet {
 public:
-    fleet(const scenario& what, std::uint64_t seed) : wanted(what), random(seed)
+    fleet(const scenario& given_scenario, std::uint64_t seed) : wanted(given_scenario), random(seed)
     {
-        for (std::size_t number = 0; number < what.entries; ++number) {
+        for (std::size_t number = 0; number < given_scenario.entries; ++number) {
             this->peers.push_back(
                 {common::host_id("entry-" + std::to_string(number)),
                  common::data_centre_id("dc-" + std::to_string(number % data_centres))});
-            this->numbers.emplace(this->peers.back().host, number);
-            // The balancer spreads evenly, but callers stay on their connections.
+            this->entry_indexes.emplace(this->peers.back().host, number);
+            // Load per entry is uneven: the balancer spreads connections evenly, but callers reuse
+            // them.
             this->weights.push_back(0.3 + this->unit(this->random));
-            this->keepers.push_back(std::make_unique<limits::shared_limiter>(
+            this->limiters.push_back(std::make_unique<limits::shared_limiter>(
                 limits::shared_limiter_settings{
                     this->peers[number].host, this->peers[number].data_centre},
                 seed * 1000 + number));
-            this->keepers.back()->set_limits({{this->organisation, {what.limit, 0, 0}}});
+            this->limiters.back()->set_limits({{this->organisation, {given_scenario.limit, 0, 0}}});
         }
-        this->alive.assign(what.entries, true);
-        const auto starting =
-            static_cast<std::size_t>(what.joining * static_cast<double>(what.entries));
+        this->alive.assign(given_scenario.entries, true);
+        const auto starting = static_cast<std::size_t>(
+            given_scenario.joining * static_cast<double>(given_scenario.entries));
         std::fill_n(this->alive.begin(), starting, false);
-        this->list_entries();
+        this->update_entry_lists();
     }
 
-    /// Admitted requests of each second.
+    /// Runs the scenario and returns the number of requests admitted in each second.
     auto run() -> std::vector<double>
     {
         std::vector<double> admitted(seconds_in_run, 0.0);
         for (int step = 0; step < seconds_in_run * steps_per_second; ++step) {
             const auto second = step / steps_per_second;
             if (step == fault_at * steps_per_second) {
-                this->fail();
+                this->inject_fault();
             }
             if (step == (fault_at + this->wanted.dropped_after) * steps_per_second) {
-                this->list_entries();
+                this->update_entry_lists();
             }
             this->now += std::chrono::milliseconds(1000 / steps_per_second);
-            this->exchange(static_cast<std::size_t>(step % steps_per_second));
+            this->exchange_reports(static_cast<std::size_t>(step % steps_per_second));
             admitted[static_cast<std::size_t>(second)] += this->offer(second);
         }
         return admitted;
     }
 
 private:
-    auto fail() -> void
+    auto inject_fault() -> void
     {
         const auto count = static_cast<double>(this->wanted.entries);
         this->is_split = this->wanted.split;
@@ -94,11 +95,11 @@
         const auto lost = static_cast<std::size_t>(this->wanted.lost * count);
         std::fill_n(this->alive.begin(), lost, false);
         if (this->wanted.joining > 0.0) {
-            this->list_entries();
+            this->update_entry_lists();
         }
     }
 
-    auto list_entries() -> void
+    auto update_entry_lists() -> void
     {
         std::vector<limits::entry_peer> listed;
         for (std::size_t number = 0; number < this->peers.size(); ++number) {
@@ -107,11 +108,11 @@
             }
         }
         for (std::size_t number = 0; number < this->peers.size(); ++number) {
-            this->keepers[number]->set_entries(listed);
+            this->limiters[number]->set_entries(listed);
         }
     }
 
-    [[nodiscard]] auto hears(std::size_t from, std::size_t to) const -> bool
+    [[nodiscard]] auto can_reach(std::size_t from, std::size_t to) const -> bool
     {
         const auto half = [](std::size_t number) {
             return number % data_centres % 2;
@@ -119,22 +120,22 @@
         return this->alive[to] && !(this->is_split && half(from) != half(to));
     }
 
-    /// A tenth of the entries reports in each step.
-    auto exchange(std::size_t phase) -> void
+    /// Sends the reports of a tenth of the entries in each step.
+    auto exchange_reports(std::size_t phase) -> void
     {
-        if (this->wanted.fixed_parts) {
+        if (this->wanted.fixed_shares) {
             return;
         }
-        for (auto from = phase; from < this->keepers.size(); from += steps_per_second) {
+        for (auto from = phase; from < this->limiters.size(); from += steps_per_second) {
             if (!this->alive[from]) {
                 continue;
             }
-            for (const auto& report : this->keepers[from]->make_reports(this->now)) {
-                const auto to = this->numbers.at(report.to);
-                if (this->hears(from, to)) {
+            for (const auto& report : this->limiters[from]->make_reports(this->now)) {
+                const auto to = this->entry_indexes.at(report.to);
+                if (this->can_reach(from, to)) {
                     const auto& host = this->peers[from].host;
-                    const auto rows = this->keepers[to]->on_report(host, report.rows, this->now);
-                    this->keepers[from]->on_answer(report.to, rows, this->now);
+                    const auto rows = this->limiters[to]->on_report(host, report.rows, this->now);
+                    this->limiters[from]->on_answer(report.to, rows, this->now);
                 }
             }
         }
@@ -157,7 +158,7 @@
             std::poisson_distribution<int> arrivals(per_step * this->weights[number] / total);
             for (auto left = arrivals(this->random); left > 0; --left) {
                 const auto done =
-                    this->keepers[number]->admit(this->organisation, {1, 0, 0}, this->now);
+                    this->limiters[number]->admit(this->organisation, {1, 0, 0}, this->now);
                 admitted += done ? 1.0 : 0.0;
             }
         }
@@ -169,21 +170,21 @@
     std::mt19937_64 random;
     std::uniform_real_distribution<double> unit{0.0, 1.0};
     std::vector<limits::entry_peer> peers;
-    std::unordered_map<common::host_id, std::size_t> numbers;
-    std::vector<std::unique_ptr<limits::shared_limiter>> keepers;
+    std::unordered_map<common::host_id, std::size_t> entry_indexes;
+    std::vector<std::unique_ptr<limits::shared_limiter>> limiters;
     std::vector<double> weights;
     std::vector<bool> alive;
     bool is_split = false;
     common::time_point now{std::chrono::hours(1)};
 };
 
-/// The most and the least admitted in any minute after `from`, in units of the limit.
+/// The most and the least admitted in any minute after second `from`, in units of the limit.
 struct extremes {
     double most = 0.0;
     double least = 0.0;
 };
 
-auto minutes_of(const std::vector<double>& admitted, double limit, int from) -> extremes
+auto minute_extremes(const std::vector<double>& admitted, double limit, int from) -> extremes
 {
     extremes found{0.0, 1e9};
     for (auto begin = from; begin + window <= seconds_in_run; ++begin) {
@@ -195,8 +196,8 @@
     return found;
 }
 
-/// Prints the scenario's figures and gives the medians.
-auto measure(const scenario& what) -> extremes
+/// Prints the scenario's metrics and returns the medians.
+auto measure(const scenario& given_scenario) -> extremes
 {
     std::vector<double> most(seed_count);
     std::vector<double> least(seed_count);
@@ -204,8 +205,8 @@
     for (std::size_t thread = 0; thread < threads; ++thread) {
         running.push_back(std::async(std::launch::async, [&, thread] {
             for (auto seed = thread; seed < seed_count; seed += threads) {
-                const auto admitted = fleet(what, seed + 1).run();
-                const auto found = minutes_of(admitted, what.limit, warm_up);
+                const auto admitted = fleet(given_scenario, seed + 1).run();
+                const auto found = minute_extremes(admitted, given_scenario.limit, warm_up);
                 most[seed] = found.most;
                 least[seed] = found.least;
             }
@@ -214,10 +215,10 @@
     for (auto& one : running) {
         one.get();
     }
-    print_sample("limit_overshoot_ratio_" + what.name, most, "ratio", better::lower);
-    // With demand under the limit a minute admits less, and that is no underuse.
-    if (std::min(what.demand_before, what.demand_after) > 1.0) {
-        print_sample("limit_underuse_ratio_" + what.name, least, "ratio", better::higher);
+    print_sample("limit_overshoot_ratio_" + given_scenario.name, most, "ratio", better::lower);
+    // Underuse is only meaningful when demand exceeds the limit.
+    if (std::min(given_scenario.demand_before, given_scenario.demand_after) > 1.0) {
+        print_sample("limit_underuse_ratio_" + given_scenario.name, least, "ratio", better::higher);
         return {median_of(most), median_of(least)};
     }
     return {median_of(most), 1.0};
@@ -228,7 +229,7 @@
 auto limits_bench() -> void
 {
     extremes all{0.0, 1.0};
-    const auto take = [&all](const extremes& found) {
+    const auto include = [&all](const extremes& found) {
         all.most = std::max(all.most, found.most);
         all.least = std::min(all.least, found.least);
     };
@@ -243,22 +244,22 @@
                 made.limit = limit;
                 return made;
             };
-            take(measure(scenario_of("steady")));
+            include(measure(scenario_of("steady")));
             auto flood = scenario_of("flood");
             flood.demand_before = 0.5;
             flood.demand_after = 10.0;
-            take(measure(flood));
+            include(measure(flood));
             auto lost = scenario_of("entries_lost");
             lost.lost = 0.34;
-            take(measure(lost));
+            include(measure(lost));
             auto joining = scenario_of("entries_join");
             joining.joining = 0.34;
-            take(measure(joining));
+            include(measure(joining));
             auto split = scenario_of("split");
             split.split = true;
-            take(measure(split));
+            include(measure(split));
             auto fixed = scenario_of("fixed_parts");
-            fixed.fixed_parts = true;
+            fixed.fixed_shares = true;
             measure(fixed);
         }
     }
--- a/source/bench/main.cpp
+++ b/source/bench/main.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-/// Runs the parts named on the command line, or all.
+/// Runs the parts named on the command line, or all of them if none is named.
 auto main(int count, char** arguments) -> int
 {
     for (const auto& each : parts) {
--- a/source/bench/parts.hpp
+++ b/source/bench/parts.hpp
@@ -2,16 +2,16 @@
 
 namespace reedramp::bench {
 
-/// Cost at the quality target: `<user>_cost_ratio_to_oracle` and its kin.
+/// Measures cost at the quality target: `<user>_cost_ratio_to_oracle` and related metrics.
 auto policy_bench() -> void;
 
-/// Exposure to bad versions: `<user>_exposed_requests` and its kin.
+/// Measures exposure to bad versions: `<user>_exposed_requests` and related metrics.
 auto exposure_bench() -> void;
 
-/// Waits, caches, surges and fairness of placement and queues.
+/// Measures waiting times, cache hits, overload and fairness of placement and queueing.
 auto placement_bench() -> void;
 
-/// Shared limits with entries that are lost, join or do not hear each other.
+/// Measures shared limits while entries fail, join or cannot reach each other.
 auto limits_bench() -> void;
 
 } // namespace reedramp::bench
--- a/source/bench/placement_bench.cpp
+++ b/source/bench/placement_bench.cpp
@@ -16,30 +16,30 @@
 
 constexpr std::size_t threads = 4;
 
-/// One value for each seed of one quantity.
+/// Values of one quantity, one per seed.
 using sample = std::vector<double>;
 
-auto name_of(method how) -> const char*
+auto name_of(balancing_method method) -> const char*
 {
-    switch (how) {
-    case method::random:
+    switch (method) {
+    case balancing_method::random:
         return "random";
-    case method::round_robin:
+    case balancing_method::round_robin:
         return "round_robin";
-    case method::least_requests:
+    case balancing_method::least_requests:
         return "least_requests";
-    case method::probing:
+    case balancing_method::probing:
         return "probing";
-    case method::central:
+    case balancing_method::central:
         return "central";
-    case method::prefix_only:
+    case balancing_method::prefix_only:
         return "prefix_only";
     }
     return "";
 }
 
-/// Runs all seeds, a few at once.
-auto run_seeds(const shape& owner, run_options options) -> std::vector<run_result>
+/// Runs all seeds, on `threads` threads.
+auto run_seeds(const cluster_shape& shape, run_options options) -> std::vector<run_result>
 {
     std::vector<run_result> results(seed_count);
     std::vector<std::future<void>> running;
@@ -48,7 +48,7 @@
             for (auto seed = thread; seed < seed_count; seed += threads) {
                 auto own = options;
                 own.seed = seed + 1;
-                results[seed] = run_cluster(owner, own);
+                results[seed] = run_cluster(shape, own);
             }
         }));
     }
@@ -106,76 +106,77 @@
         median_of(probes));
 }
 
-using wait_table = std::map<method, sample>;
+using wait_table = std::map<balancing_method, sample>;
 
-auto compare(const std::string& text, const shape& owner, run_options options) -> wait_table
+auto compare(const std::string& text, const cluster_shape& shape, run_options options) -> wait_table
 {
     wait_table waits;
-    for (const auto how :
-         {method::random,
-          method::round_robin,
-          method::least_requests,
-          method::probing,
-          method::central}) {
-        options.how = how;
-        const auto runs = run_seeds(owner, options);
-        waits[how] = waits_of(runs);
-        print_row(text, name_of(how), runs);
+    for (const auto method :
+         {balancing_method::random,
+          balancing_method::round_robin,
+          balancing_method::least_requests,
+          balancing_method::probing,
+          balancing_method::central}) {
+        options.method = method;
+        const auto runs = run_seeds(shape, options);
+        waits[method] = waits_of(runs);
+        print_row(text, name_of(method), runs);
     }
     return waits;
 }
 
-auto print_ratio(const std::string& name, const wait_table& waits, method to) -> void
+auto print_ratio(const std::string& name, const wait_table& waits, balancing_method to) -> void
 {
     const auto metric = name + "_wait_p99_ratio_to_" + name_of(to);
-    print_sample(metric, ratios(waits.at(method::probing), waits.at(to)), "ratio", better::lower);
+    print_sample(
+        metric, ratios(waits.at(balancing_method::probing), waits.at(to)), "ratio", better::lower);
 }
 
-auto measure_loads(const shape& owner) -> void
+auto measure_loads(const cluster_shape& shape) -> void
 {
     for (const auto load : {0.5, 0.8, 0.95}) {
         run_options options;
         options.load = load;
-        const auto text = owner.name + " load " + std::to_string(load).substr(0, 4);
-        const auto waits = compare(text, owner, options);
+        const auto text = shape.name + " load " + std::to_string(load).substr(0, 4);
+        const auto waits = compare(text, shape, options);
         if (load == 0.8) {
-            print_ratio(owner.name, waits, method::central);
-            print_ratio(owner.name, waits, method::round_robin);
+            print_ratio(shape.name, waits, balancing_method::central);
+            print_ratio(shape.name, waits, balancing_method::round_robin);
         }
     }
 }
 
-auto measure_faults(const shape& owner) -> void
+auto measure_faults(const cluster_shape& shape) -> void
 {
     run_options slow;
-    slow.slowness = 5.0;
-    auto waits = compare(owner.name + " server 5x slow", owner, slow);
-    print_ratio(owner.name + "_slow_server", waits, method::round_robin);
+    slow.slowdown = 5.0;
+    auto waits = compare(shape.name + " server 5x slow", shape, slow);
+    print_ratio(shape.name + "_slow_server", waits, balancing_method::round_robin);
     run_options lost;
     lost.load = 0.5;
     lost.lose_data_centre = true;
-    waits = compare(owner.name + " pool lost", owner, lost);
-    print_ratio(owner.name + "_lost_pool", waits, method::round_robin);
+    waits = compare(shape.name + " pool lost", shape, lost);
+    print_ratio(shape.name + "_lost_pool", waits, balancing_method::round_robin);
 }
 
-/// At full size the bound's wait is zero, so that the wait itself is printed.
+/// Prints the wait itself instead of a ratio, since the central queue's wait is zero at full size.
 auto measure_full_size() -> void
 {
-    // An RPC call of a probe is 160 bytes, its answer 160, and the message that ends it 40.
+    // Per probe: 160 bytes for the RPC call, 160 for its answer and 40 for its finish message.
     constexpr double bytes_per_probe = 360.0;
     constexpr double requests_per_entry = 4200.0 / 390.0;
-    const auto owner = full_shape();
+    const auto shape = full_shape();
     run_options options;
     options.seconds = 15.0;
     options.warm_up = 6.0;
     for (const auto load : {0.8, 0.95}) {
         options.load = load;
-        compare("full load " + std::to_string(load).substr(0, 4), owner, options);
+        compare("full load " + std::to_string(load).substr(0, 4), shape, options);
     }
     options.load = 0.8;
     for (const auto* name : {"", "prefix_"}) {
         options.use_prefix = *name != '\0';
-        const auto runs = run_seeds(owner, options);
+        const auto runs = run_seeds(shape, options);
         sample bytes;
         for (const auto& run : runs) {
             const auto probes = static_cast<double>(run.probes) / static_cast<double>(run.offered);
@@ -196,24 +197,25 @@
     return values;
 }
 
-auto measure_prefixes(const shape& owner) -> void
+auto measure_prefixes(const cluster_shape& shape) -> void
 {
     run_options options;
-    const auto without = run_seeds(owner, options);
+    const auto without = run_seeds(shape, options);
     options.use_prefix = true;
-    const auto with = run_seeds(owner, options);
-    options.how = method::prefix_only;
-    const auto best = run_seeds(owner, options);
-    print_row(owner.name + " prefix unknown", "probing", without);
-    print_row(owner.name + " prefix known", "probing", with);
-    print_row(owner.name + " prefix known", "prefix_only", best);
-    const auto name = owner.name + "_prefix_hit_ratio";
+    const auto with = run_seeds(shape, options);
+    options.method = balancing_method::prefix_only;
+    const auto best = run_seeds(shape, options);
+    print_row(shape.name + " prefix unknown", "probing", without);
+    print_row(shape.name + " prefix known", "probing", with);
+    print_row(shape.name + " prefix known", "prefix_only", best);
+    const auto name = shape.name + "_prefix_hit_ratio";
     const auto bound = hit_ratios(best);
     print_sample(name + "_to_best", ratios(hit_ratios(with), bound), "ratio", better::higher);
     print_sample(name + "_unknown", ratios(hit_ratios(without), bound), "ratio", better::higher);
 }
 
-/// Gives each organisation what it offers, or an equal part of what is left, whichever is less.
+/// Max-min fair shares of `total`: each organisation gets what it offers or an equal part of the
+/// remainder, whichever is less.
 auto max_min_shares(const sample& offered, double total) -> sample
 {
     sample shares(offered.size(), 0.0);
@@ -228,7 +230,8 @@
     return shares;
 }
 
-/// Jain's index of what each organisation got in relation to its max-min share: 1 is fair.
+/// Jain's fairness index of each organisation's answered work relative to its max-min share; 1 is
+/// perfectly fair.
 auto jain_index(const run_result& run) -> double
 {
     const auto& got = run.answered_work;
@@ -244,12 +247,12 @@
     return sum * sum / (static_cast<double>(got.size()) * squares);
 }
 
-auto measure_surge(const shape& owner, run_options options, const std::string& name) -> void
+auto measure_surge(const cluster_shape& shape, run_options options, const std::string& name) -> void
 {
     options.load = 1.3;
-    options.time_left = std::chrono::seconds(10);
-    const auto runs = run_seeds(owner, options);
-    const auto slots = static_cast<double>(owner.servers() * owner.slots);
+    options.time_limit = std::chrono::seconds(10);
+    const auto runs = run_seeds(shape, options);
+    const auto slots = static_cast<double>(shape.servers() * shape.slots);
     sample goodput;
     sample fairness;
     sample late;
@@ -258,14 +261,14 @@
         fairness.push_back(jain_index(run));
         late.push_back(static_cast<double>(run.late) / static_cast<double>(run.offered));
     }
-    print_row(owner.name + " surge 1.30", name.empty() ? "probing" : name.c_str(), runs);
-    print_sample(owner.name + name + "_surge_goodput_ratio", goodput, "ratio", better::higher);
-    print_sample(owner.name + name + "_fairness_jain", fairness, "index", better::higher);
-    print_sample(owner.name + name + "_surge_late_share", late, "share", better::lower);
+    print_row(shape.name + " surge 1.30", name.empty() ? "probing" : name.c_str(), runs);
+    print_sample(shape.name + name + "_surge_goodput_ratio", goodput, "ratio", better::higher);
+    print_sample(shape.name + name + "_fairness_jain", fairness, "index", better::higher);
+    print_sample(shape.name + name + "_surge_late_share", late, "share", better::lower);
 }
 
-/// Nanoseconds of one whole choice, of the version among 7 and their cascades, then of the server
-/// among 620, when one round of probes has answered.
+/// Measures the time of one complete decision in nanoseconds: the choice among 7 versions and their
+/// cascades, then the choice among 620 servers after one round of probes.
 auto measure_decision() -> void
 {
     constexpr std::size_t versions = 7;
@@ -297,7 +300,7 @@
         }
     }
     placement::probe_pool pool({});
-    const placement::server_selector chooser({});
+    const placement::server_selector selector({});
     sample nanoseconds;
     common::time_point now;
     for (std::size_t turn = 0; turn < turns; ++turn) {
@@ -310,7 +313,7 @@
         request.version = choice->key.first;
         request.prefix_hash = turn % 200 + 1;
         const auto& known = candidates[0];
-        const auto plan = chooser.plan(request, known, pool, 0, now, random);
+        const auto plan = selector.plan(request, known, pool, 0, now, random);
         auto spent = std::chrono::steady_clock::now() - begin;
         for (const auto index : plan.targets) {
             messages::probe_answer answer;
@@ -319,8 +322,8 @@
             pool.add(request.version, answer, known[index].distance, now);
         }
         begin = std::chrono::steady_clock::now();
-        const auto more = chooser.plan(request, known, pool, 1, now, random);
-        const auto placed = chooser.place(request, known, pool, now, random);
+        const auto more = selector.plan(request, known, pool, 1, now, random);
+        const auto placed = selector.place(request, known, pool, now, random);
         spent += std::chrono::steady_clock::now() - begin;
         if (more.targets.empty() && placed) {
             nanoseconds.push_back(static_cast<double>(spent.count()));
@@ -334,15 +337,15 @@
 
 auto placement_bench() -> void
 {
-    for (const auto& owner : {steinhauser_shape(), abay_shape()}) {
-        measure_loads(owner);
-        measure_faults(owner);
-        measure_prefixes(owner);
-        measure_surge(owner, {}, "");
+    for (const auto& shape : {steinhauser_shape(), abay_shape()}) {
+        measure_loads(shape);
+        measure_faults(shape);
+        measure_prefixes(shape);
+        measure_surge(shape, {}, "");
         run_options first_come;
-        first_come.first_come = true;
+        first_come.first_come_first_served = true;
         first_come.queue.max_queued = 100'000;
-        measure_surge(owner, first_come, "_first_come");
+        measure_surge(shape, first_come, "_first_come");
     }
     measure_full_size();
     measure_decision();
--- a/source/bench/users.hpp
+++ b/source/bench/users.hpp
@@ -7,8 +7,8 @@
 #include "common/units.hpp"
 #include "policy/quality.hpp"
 
-/// The two users' work as the measurements assume it. The truths here are what a policy has to find
-/// out by itself; it is given prices, targets and ratings alone.
+/// The assumed workloads of two users. The `..._truth` values are hidden from the policy, which
+/// sees only prices, targets and ratings and has to estimate the rest.
 namespace reedramp::bench {
 
 struct version_truth {
@@ -16,7 +16,7 @@
     /// Expected cost of one request in micro-money.
     double cost = 0.0;
     double seconds = 1.0;
-    /// Mean true score by task, in the order of `user::tasks`.
+    /// Mean true score by task, in the order of `user_profile::tasks`.
     std::vector<double> quality;
 };
 
@@ -28,25 +28,25 @@
     bool may_cascade = true;
 };
 
-struct user {
+struct user_profile {
     std::string name;
     std::vector<task_truth> tasks;
     /// Cheapest first.
     std::vector<version_truth> versions;
     double requests_per_second = 1.0;
-    /// Share of answers that are sent for rating at random, and share of those that come back.
-    double rated = 0.3;
-    double returned = 0.8;
+    /// Share of answers sent for rating at random, and share of those whose rating arrives.
+    double rated_share = 0.3;
+    double returned_share = 0.8;
     double rating_delay_s = 60.0;
-    /// Entries that share the traffic and hear each other with a lag.
+    /// Number of entries that share the traffic, and the period of gossip between them in seconds.
     int entries = 3;
-    double gossip_s = 2.0;
+    double gossip_period_s = 2.0;
 };
 
-/// Spread of single scores around a version's mean.
+/// Standard deviation of single scores around a version's mean.
 inline constexpr double score_spread = 0.18;
 
-inline auto steinhauser() -> user
+inline auto steinhauser() -> user_profile
 {
     return {
         "steinhauser",
@@ -64,7 +64,7 @@
         2.0};
 }
 
-inline auto abay() -> user
+inline auto abay() -> user_profile
 {
     return {
         "abay",
--- a/source/bench/workload.cpp
+++ b/source/bench/workload.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Spread of lengths; the mean of exp(normal(-s*s/2, s)) is 1.
+/// Standard deviation of the logarithm of lengths; exp(normal(-s*s/2, s)) has mean 1.
 constexpr double length_spread = 0.8;
 
-/// Weights 1, 1/2, 1/3 and so on: a few are large.
-auto falling(std::size_t count) -> std::vector<double>
+/// Weights 1, 1/2, 1/3 and so on, so that a few items dominate.
+auto harmonic_weights(std::size_t count) -> std::vector<double>
 {
     std::vector<double> weights;
     for (std::size_t rank = 1; rank <= count; ++rank) {
@@ -23,38 +23,38 @@
 
 } // namespace
 
-auto shape::servers() const -> std::size_t
+auto cluster_shape::servers() const -> std::size_t
 {
     return std::accumulate(this->replicas.begin(), this->replicas.end(), std::size_t{0});
 }
 
-auto shape::mean_seconds() const -> double
+auto cluster_shape::mean_seconds() const -> double
 {
     return this->prompt_tokens / prefill_rate + this->completion_tokens / decode_rate;
 }
 
-auto steinhauser_shape() -> shape
+auto steinhauser_shape() -> cluster_shape
 {
     using std::chrono::microseconds;
-    shape made;
+    cluster_shape made;
     made.name = "steinhauser";
     made.replicas = {6, 4, 2};
-    made.near_trip = microseconds(100);
-    made.far_trip = microseconds(500);
+    made.near_latency = microseconds(100);
+    made.far_latency = microseconds(500);
     return made;
 }
 
-auto abay_shape() -> shape
+auto abay_shape() -> cluster_shape
 {
     using std::chrono::microseconds;
     auto made = steinhauser_shape();
     made.name = "abay";
     made.replicas = {8, 6, 4};
-    made.far_trip = microseconds(1500);
+    made.far_latency = microseconds(1500);
     return made;
 }
 
-auto full_shape() -> shape
+auto full_shape() -> cluster_shape
 {
     auto made = steinhauser_shape();
     made.name = "full";
@@ -64,31 +64,33 @@
     return made;
 }
 
-arrivals::arrivals(const shape& whose, double load, common::duration left, std::uint64_t seed)
-    : owner(whose), time_left(left), random(seed),
-      gap(load * static_cast<double>(whose.servers() * whose.slots) / whose.mean_seconds()),
-      version(whose.replicas.begin(), whose.replicas.end()),
+arrival_generator::arrival_generator(
+    const cluster_shape& given_shape, double load, common::duration left, std::uint64_t seed)
+    : shape(given_shape), time_limit(left), random(seed),
+      gap(load * static_cast<double>(given_shape.servers() * given_shape.slots) /
+          given_shape.mean_seconds()),
+      version(given_shape.replicas.begin(), given_shape.replicas.end()),
       length(-length_spread * length_spread / 2.0, length_spread)
 {
-    const auto sizes = falling(whose.organisations);
+    const auto sizes = harmonic_weights(given_shape.organisations);
     this->organisation = {sizes.begin(), sizes.end()};
-    const auto uses = falling(whose.prefixes);
+    const auto uses = harmonic_weights(given_shape.prefixes);
     this->prefix = {uses.begin(), uses.end()};
 }
 
-auto arrivals::next() -> job
+auto arrival_generator::next() -> job
 {
     this->now += this->gap(this->random);
     job made;
     made.number = this->count++;
     made.arrival = common::time_point(to_duration(this->now));
-    made.deadline = made.arrival + this->time_left;
+    made.deadline = made.arrival + this->time_limit;
     made.version = this->version(this->random);
     made.organisation = this->organisation(this->random);
-    made.entry = this->random() % this->owner.entries;
+    made.entry = this->random() % this->shape.entries;
     made.prefix = this->prefix(this->random);
-    made.prompt = this->owner.prompt_tokens * this->length(this->random);
-    made.truth.completion = this->owner.completion_tokens * this->length(this->random);
+    made.prompt = this->shape.prompt_tokens * this->length(this->random);
+    made.truth.completion = this->shape.completion_tokens * this->length(this->random);
     return made;
 }
 
@@ -102,47 +104,48 @@
     return std::chrono::duration<double>(span).count();
 }
 
-fake_server::fake_server(const shape& whose, placement::fair_queue_settings settings)
-    : queue(settings), owner(whose)
+simulated_server::simulated_server(
+    const cluster_shape& given_shape, placement::fair_queue_settings settings)
+    : queue(settings), shape(given_shape)
 {
 }
 
-auto fake_server::ask_for(const job& item) const -> placement::queued_request
+auto simulated_server::make_queued_request(const job& item) const -> placement::queued_request
 {
     placement::queued_request made;
     made.key.request = {1, item.number};
     made.organisation = common::organisation_id("o" + std::to_string(item.organisation));
     auto expected = item;
-    expected.truth.completion = this->owner.completion_tokens;
-    made.cost = spent(expected);
+    expected.truth.completion = this->shape.completion_tokens;
+    made.cost = token_cost(expected);
     made.deadline = item.deadline;
     return made;
 }
 
-auto fake_server::spent(const job& item) -> common::token_count
+auto simulated_server::token_cost(const job& item) -> common::token_count
 {
     const auto cost = item.prompt * decode_rate / prefill_rate + item.truth.completion;
     return common::token_count(static_cast<std::uint64_t>(std::max(1.0, cost)));
 }
 
-auto fake_server::run_seconds(const job& item, bool& hit) -> double
+auto simulated_server::run_seconds(const job& item, bool& hit) -> double
 {
     const auto found = std::ranges::find(this->cache, item.prefix);
     hit = found != this->cache.end();
     if (hit) {
         this->cache.erase(found);
     }
-    else if (this->cache.size() >= this->owner.cached_prefixes && !this->cache.empty()) {
+    else if (this->cache.size() >= this->shape.cached_prefixes && !this->cache.empty()) {
         this->cache.pop_front();
     }
-    if (this->owner.cached_prefixes > 0) {
+    if (this->shape.cached_prefixes > 0) {
         this->cache.push_back(item.prefix);
     }
-    const auto prefill = item.prompt * (hit ? 1.0 - this->owner.prefix_share : 1.0) / prefill_rate;
-    return this->slowness * (prefill + item.truth.completion / decode_rate);
+    const auto prefill = item.prompt * (hit ? 1.0 - this->shape.prefix_share : 1.0) / prefill_rate;
+    return this->slowdown * (prefill + item.truth.completion / decode_rate);
 }
 
-auto fake_server::answer() const -> messages::probe_answer
+auto simulated_server::answer() const -> messages::probe_answer
 {
     messages::probe_answer made;
     made.server = this->id;
--- a/source/bench/workload.hpp
+++ b/source/bench/workload.hpp
@@ -12,26 +12,26 @@
 #include "messages/run.hpp"
 #include "placement/fair_queue.hpp"
 
-/// The two users' servers and requests as the measurements of placement assume them.
+/// Simulated servers and requests for the placement benchmarks.
 namespace reedramp::bench {
 
 /// Servers, entries and requests of one user.
-struct shape {
+struct cluster_shape {
     std::string name;
     /// Replicas of each version.
     std::vector<std::size_t> replicas;
     std::size_t entries = 3;
     std::size_t data_centres = 3;
-    /// One-way trips between processes, within and between data centres.
-    common::duration near_trip{};
-    common::duration far_trip{};
+    /// One-way latency between processes, within and between data centres.
+    common::duration near_latency{};
+    common::duration far_latency{};
     std::size_t organisations = 10;
-    /// Requests that one engine runs at once.
+    /// Requests that one engine runs concurrently.
     std::size_t slots = 4;
     double prompt_tokens = 800.0;
     double completion_tokens = 40.0;
-    /// How many of a prompt's tokens are the prefix that requests share, and how many prefixes
-    /// there are for each version.
+    /// Share of a prompt's tokens that is the shared prefix, and number of distinct prefixes per
+    /// version.
     double prefix_share = 0.7;
     std::size_t prefixes = 200;
     /// Prefixes that one engine's cache holds.
@@ -42,16 +42,16 @@
     [[nodiscard]] auto mean_seconds() const -> double;
 };
 
-auto steinhauser_shape() -> shape;
-auto abay_shape() -> shape;
-/// 390 entries before 620 replicas of 7 versions.
-auto full_shape() -> shape;
+auto steinhauser_shape() -> cluster_shape;
+auto abay_shape() -> cluster_shape;
+/// 390 entries in front of 620 replicas of 7 versions.
+auto full_shape() -> cluster_shape;
 
-/// Tokens a second of one running request.
+/// Tokens per second of one running request.
 inline constexpr double prefill_rate = 4000.0;
 inline constexpr double decode_rate = 50.0;
 
-/// One request. What follows `truth` a policy never sees.
+/// One request. The policy never sees the fields in `truth`.
 struct job {
     std::size_t number = 0;
     common::time_point arrival;
@@ -67,16 +67,21 @@
     } truth;
 };
 
-/// Poisson arrivals at a share of what the servers can do. A few organisations are large.
-class arrivals {
+/// Generates Poisson arrivals at `load` times the servers' capacity. Organisations and prefixes
+/// have harmonic weights, so a few of them make up most of the traffic.
+class arrival_generator {
 public:
-    arrivals(const shape& whose, double load, common::duration time_left, std::uint64_t seed);
+    arrival_generator(
+        const cluster_shape& given_shape,
+        double load,
+        common::duration time_limit,
+        std::uint64_t seed);
 
     auto next() -> job;
 
 private:
-    const shape& owner;
-    common::duration time_left;
+    const cluster_shape& shape;
+    common::duration time_limit;
     std::mt19937_64 random;
     std::exponential_distribution<double> gap;
     std::discrete_distribution<std::size_t> version;
@@ -90,18 +95,21 @@
 auto to_duration(double seconds) -> common::duration;
 auto to_seconds(common::duration span) -> double;
 
-/// An engine with the agent's queue before it.
-class fake_server {
+/// A simulated engine with the agent's queue in front of it.
+class simulated_server {
 public:
-    fake_server(const shape& whose, placement::fair_queue_settings settings);
+    simulated_server(const cluster_shape& given_shape, placement::fair_queue_settings settings);
 
-    /// What the queue is told of a request: the completion is only expected.
-    [[nodiscard]] auto ask_for(const job& item) const -> placement::queued_request;
+    /// The request as the queue sees it, with the expected completion length instead of the true
+    /// one.
+    [[nodiscard]] auto make_queued_request(const job& item) const -> placement::queued_request;
 
-    /// What it costs in tokens of completion; a prompt's token is read that much faster.
-    [[nodiscard]] static auto spent(const job& item) -> common::token_count;
+    /// Cost of the request in completion tokens; prompt tokens are weighted by
+    /// `decode_rate / prefill_rate`, since they are processed faster.
+    [[nodiscard]] static auto token_cost(const job& item) -> common::token_count;
 
-    /// Seconds that it runs here; takes its prefix into the cache.
+    /// Run time of the request on this server in seconds. Adds its prefix to the cache; `hit` is
+    /// set to whether the prefix was already there.
     auto run_seconds(const job& item, bool& hit) -> double;
 
     [[nodiscard]] auto answer() const -> messages::probe_answer;
@@ -110,11 +118,11 @@
     common::server_id id;
     std::size_t version = 0;
     std::size_t data_centre = 0;
-    double slowness = 1.0;
+    double slowdown = 1.0;
     bool lost = false;
 
 private:
-    const shape& owner;
+    const cluster_shape& shape;
     /// Least recently used first.
     std::deque<std::size_t> cache;
 };
