--- a/source/core/entry/chat_request.cpp
+++ b/source/core/entry/chat_request.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-constexpr std::size_t deepest_json = 32;
-constexpr std::size_t longest_name = 128;
+constexpr std::size_t max_json_depth = 32;
+constexpr std::size_t max_name_bytes = 128;
 constexpr std::uint64_t default_max_tokens = 512;
-constexpr std::uint64_t largest_max_tokens = 131'072;
-/// Of English text and usual tokenizers; only limits and queues use the guess.
-constexpr std::size_t letters_per_token = 4;
-/// Servers cache prefixes in blocks; the first part of a conversation is what requests share.
-constexpr std::size_t prefix_letters = 2048;
-constexpr std::size_t longest_question = 4096;
-constexpr std::int64_t highest_priority = 100;
+constexpr std::uint64_t max_tokens_limit = 131'072;
+/// Typical for English text; the estimate is used only for limits and queues.
+constexpr std::size_t bytes_per_token = 4;
+/// Servers cache prefixes in blocks, and requests share the beginning of a conversation.
+constexpr std::size_t prefix_hash_bytes = 2048;
+constexpr std::size_t max_question_bytes = 4096;
+constexpr std::int64_t max_priority = 100;
 
 auto bad(std::string_view why)
 {
     return common::failure(common::result_code::malformed_json, std::string(why));
 }
 
-/// Parses with a depth limit; Boost.JSON checks UTF-8 itself.
+/// Parses with a depth limit; Boost.JSON validates UTF-8.
 auto parse_object(std::string_view body) -> common::result<json::object>
 {
     json::parse_options options;
-    options.max_depth = deepest_json;
+    options.max_depth = max_json_depth;
     json::error_code failed;
     auto value = json::parse(json::string_view(body.data(), body.size()), failed, {}, options);
     if (failed) {
-        return bad("not JSON: " + failed.message());
+        return bad("invalid JSON: " + failed.message());
     }
     if (!value.is_object()) {
         return bad("not a JSON object");
@@ -50,8 +50,8 @@
         return bad(std::string(key) + ": a string is required");
     }
     const auto& text = value->as_string();
-    if (text.empty() || text.size() > longest_name) {
-        return bad(std::string(key) + ": 1 to 128 bytes are allowed");
+    if (text.empty() || text.size() > max_name_bytes) {
+        return bad(std::string(key) + ": must be 1 to 128 bytes long");
     }
     return std::string(text.data(), text.size());
 }
@@ -68,7 +68,7 @@
     return value->as_bool();
 }
 
-auto read_whole(
+auto read_integer(
     const json::object& from,
     const char* key,
     std::int64_t missing,
@@ -81,13 +81,14 @@
     }
     if (!value->is_int64() || value->as_int64() < least || value->as_int64() > most) {
         return bad(
-            std::string(key) + ": a whole number from " + std::to_string(least) + " to " +
+            std::string(key) + ": an integer from " + std::to_string(least) + " to " +
             std::to_string(most) + " is required");
     }
     return value->as_int64();
 }
 
-/// Text of a message's content: a string, or a list of parts of which those of type text count.
+/// Appends the text of a message's content, which is a string or a list of parts; only the "text"
+/// fields of parts count. Returns false if the content is malformed.
 auto add_content(const json::value& content, std::string& text) -> bool
 {
     if (content.is_string()) {
@@ -122,13 +123,13 @@
     std::size_t last_start = 0;
     for (const auto& message : value->as_array()) {
         if (!message.is_object()) {
-            return bad("messages: each must be an object");
+            return bad("messages: each message must be an object");
         }
         const auto& fields = message.as_object();
         const auto* role = fields.if_contains("role");
         const auto* content = fields.if_contains("content");
         if (role == nullptr || !role->is_string()) {
-            return bad("messages: a role is required");
+            return bad("messages: each message must have a role");
         }
         last_start = text.size();
         if (content != nullptr && !add_content(*content, text)) {
@@ -136,9 +137,9 @@
         }
         text.push_back('\n');
     }
-    into.prompt_tokens = common::token_count(text.size() / letters_per_token + 1);
-    into.prefix_hash = XXH3_64bits(text.data(), std::min(text.size(), prefix_letters));
-    into.question = text.substr(last_start, longest_question);
+    into.prompt_tokens = common::token_count(text.size() / bytes_per_token + 1);
+    into.prefix_hash = XXH3_64bits(text.data(), std::min(text.size(), prefix_hash_bytes));
+    into.question = text.substr(last_start, max_question_bytes);
     return {};
 }
 
@@ -164,12 +165,12 @@
     return {};
 }
 
-/// `max_completion_tokens` is the newer name of `max_tokens`; the smaller one holds.
+/// `max_completion_tokens` is the newer name of `max_tokens`; the smaller value applies.
 auto read_max_tokens(const json::object& from) -> common::result<common::token_count>
 {
     std::int64_t smallest = 0;
     for (const auto* key : {"max_tokens", "max_completion_tokens"}) {
-        const auto found = read_whole(from, key, 0, 1, largest_max_tokens);
+        const auto found = read_integer(from, key, 0, 1, max_tokens_limit);
         if (!found) {
             return tl::unexpected(found.error());
         }
@@ -203,7 +204,7 @@
         return tl::unexpected(max_tokens.error());
     }
     into.max_tokens = *max_tokens;
-    const auto priority = read_whole(*object, "priority", 0, -highest_priority, highest_priority);
+    const auto priority = read_integer(*object, "priority", 0, -max_priority, max_priority);
     if (!priority) {
         return tl::unexpected(priority.error());
     }
--- a/source/core/entry/context.hpp
+++ b/source/core/entry/context.hpp
@@ -11,8 +11,8 @@
 #include <utility>
 
 #include "common/sharded_map.hpp"
-#include "entry/collaborators.hpp"
 #include "entry/core.hpp"
+#include "entry/core_hooks.hpp"
 #include "entry/decisions.hpp"
 #include "entry/exchange.hpp"
 #include "entry/filter.hpp"
@@ -20,18 +20,18 @@
 
 namespace reedramp::entry {
 
-/// Counts for metrics and status.
-class counters {
+/// Thread-safe counters for metrics and status.
+class atomic_counters {
 public:
     std::atomic<std::uint64_t> answered{0};
     std::atomic<std::uint64_t> retries{0};
     std::atomic<std::uint64_t> continued_streams{0};
     std::atomic<std::uint64_t> late_events{0};
-    std::atomic<std::uint64_t> cut_by_shutdown{0};
+    std::atomic<std::uint64_t> aborted_by_shutdown{0};
 
     auto count_refusal(common::result_code code) -> void;
     auto count_version(const common::version_id& version) -> void;
-    [[nodiscard]] auto read(std::size_t in_flight) -> core_counters;
+    [[nodiscard]] auto snapshot(std::size_t in_flight) -> core_counters;
 
 private:
     static constexpr std::size_t code_limit = 1000;
@@ -40,18 +40,19 @@
     common::sharded_map<common::version_id, std::uint64_t> versions;
 };
 
-/// The requests that are under way, with their deadlines.
+/// Registry of the requests in flight and their deadlines. Thread-safe.
 ///
-/// A timer for each request would stay behind for the rest of its deadline after the request has
-/// been answered; at 30 s and thousands of requests a second that is more memory than the requests
-/// themselves. So one periodic look takes the requests whose deadline has passed.
+/// A timer per request would stay allocated until the deadline, long after the request was
+/// answered; at 30 s and thousands of requests a second, the timers would need more memory than the
+/// requests themselves. Instead, `take_overdue` is called periodically.
 class request_registry {
 public:
     auto add(const exchange_ptr& item) -> void;
     auto remove(const exchange& item) -> void;
+    /// Returns the requests whose deadline has passed, each of them once.
     auto take_overdue(common::time_point now) -> std::vector<exchange_ptr>;
     auto all() -> std::vector<exchange_ptr>;
-    /// Lets go of all, when the core ends before its requests.
+    /// Releases all requests, for a core that is destroyed before its requests have ended.
     auto clear() -> void;
 
     [[nodiscard]] auto size() const -> std::size_t { return this->count.load(); }
@@ -73,27 +74,28 @@
     std::atomic<std::size_t> count{0};
 };
 
-/// What all requests of one core share.
+/// State shared by all requests of one core.
 class core_context {
 public:
-    core_context(core_options wanted, collaborators hooks, admin_api operators);
+    core_context(core_options wanted, core_hooks given, admin_api operators);
 
     core_options options;
-    collaborators parts;
+    core_hooks hooks;
     admin_api admin;
     decision_ring decisions;
-    placement::retry_budget budget;
-    counters counted;
+    placement::retry_budget retry_budget;
+    atomic_counters counters;
     request_registry requests;
     const filter_chain work_chain;
     const filter_chain models_chain;
     const filter_chain session_chain;
-    /// Not ready any more; what comes on open connections is still served.
-    std::atomic<bool> leaving{false};
-    /// The shutdown's deadline has passed.
-    std::atomic<bool> closed{false};
-    /// Called when a request has ended while the process is leaving.
-    std::function<auto()->void> request_ended;
+    /// Set when a graceful shutdown begins: no longer ready, but requests on open connections are
+    /// still served.
+    std::atomic<bool> is_draining{false};
+    /// Set when the shutdown's deadline has passed: new requests are refused.
+    std::atomic<bool> is_closed{false};
+    /// Called when a request has ended during a graceful shutdown.
+    std::function<auto()->void> on_request_ended;
 };
 
 } // namespace reedramp::entry
--- a/source/core/entry/filter_list_models.cpp
+++ b/source/core/entry/filter_list_models.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Lists what the organisation may name: its models, and their versions that are not withdrawn.
+/// Lists the models that the organisation may use and their versions that are not withdrawn.
 auto list_models(const exchange_ptr& item) -> filter_step
 {
     const auto* owner = rules::find_organisation(*item->state, item->organisation);
@@ -32,7 +32,7 @@
         listed.push_back({id.value(), "model"});
     }
     listed.insert(listed.end(), versions.begin(), versions.end());
-    send_answer(*item, models_answer(listed));
+    send_response(*item, models_response(listed));
     end_exchange(item, common::result_code::ok, common::execution::ran);
     return filter_step::stop;
 }
--- a/source/core/entry/version_policy.hpp
+++ b/source/core/entry/version_policy.hpp
@@ -11,14 +11,14 @@
 #include "common/ids.hpp"
 #include "common/result.hpp"
 #include "common/units.hpp"
-#include "control/evidence_board.hpp"
-#include "control/evidence_source.hpp"
+#include "control/evidence_aggregator.hpp"
+#include "control/evidence_recorder.hpp"
 #include "control/rollout.hpp"
-#include "entry/collaborators.hpp"
+#include "entry/core_hooks.hpp"
 #include "inventory/state.hpp"
 #include "messages/peer.hpp"
 #include "platform/hooks.hpp"
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 #include "policy/quality.hpp"
 
 namespace reedramp::entry {
@@ -26,42 +26,44 @@
 struct version_policy_settings {
     policy::quality_options quality;
     control::rollout_options rollouts;
-    /// Share of requests, not of sessions, that may explore a cheaper version.
+    /// Share of requests outside sessions that may explore a cheaper version.
     double explore_share = 0.03;
-    /// An answer that took longer than this counts as slow for the guard of a roll-out.
+    /// Responses that take longer count as slow for the regression detector of a roll-out.
     common::duration slow_after = std::chrono::seconds(10);
-    /// Answers that wait for their rating.
+    /// Maximum number of answers that wait for their rating.
     std::size_t awaiting_limit = 50'000;
 };
 
-/// Chooses versions by cost at the quality target, and watches roll-outs: the estimates from
-/// ratings, the share of a roll-out, and this entry's evidence joined with that of the others.
+/// Chooses versions by cost at the quality target, using quality estimates from ratings, and
+/// controls roll-outs using this entry's evidence pooled with that of the other entries.
 /// Thread-safe.
 class version_policy {
 public:
     explicit version_policy(version_policy_settings wanted);
 
-    /// `collaborators::choose_version`; `chance` is uniform in [0, 1). Errors: those of
-    /// `eligible_versions`, and `organisation_not_allowed` when all are above the price ceiling.
-    auto choose(const inventory::state& current, const version_question& question, double chance)
+    /// Implements `core_hooks::choose_version`; `chance` is uniform in [0, 1). Errors: those of
+    /// `eligible_versions`; `organisation_not_allowed` if all versions are above the price ceiling;
+    /// `no_capacity` if no version suits the request.
+    auto choose(const inventory::state& current, const version_query& query, double chance)
         -> common::result<version_decision>;
 
-    /// An attempt has ended.
+    /// Records the result of an attempt as evidence.
     auto on_attempt(const inventory::state& current, const attempt_report& report) -> void;
 
-    /// An answer was handed to the rating service.
+    /// Records that an answer was submitted to the rating service.
     auto on_submitted(const common::request_id& request, control::rated_answer answer) -> void;
 
     auto on_ratings(const inventory::state& current, const std::vector<platform::rating>& ratings)
         -> void;
 
-    /// This entry's evidence, for a message to the others.
+    /// This entry's evidence, to be sent to the other entries.
     [[nodiscard]] auto evidence() const -> std::vector<messages::version_evidence>;
 
-    /// Takes in an entry's evidence, this one's too.
-    auto take_evidence(const messages::gossip& news) -> void;
+    /// Applies the evidence of an entry, including this one.
+    auto apply_evidence(const messages::gossip& gossip) -> void;
 
-    /// Looks at the roll-outs; call it each second. `rank` is this entry's place among all.
+    /// Evaluates the roll-outs; to be called every second. `rank` is this entry's rank among all
+    /// entries.
     auto tick(const inventory::state& current, std::uint32_t rank, common::time_point now)
         -> std::vector<control::rollout_action>;
 
@@ -70,33 +72,33 @@
 
     auto choose_among(
         const inventory::state& current,
-        const version_question& question,
+        const version_query& query,
         const std::vector<const inventory::version*>& candidates,
         double chance) -> common::result<version_decision>;
     auto options_for(
         const inventory::state& current,
-        const version_question& question,
+        const version_query& query,
         const std::vector<const inventory::version*>& candidates) -> std::vector<policy::option>;
-    auto price_of_quality(const account_key& key) -> double;
-    auto book(
+    auto quality_price_of(const account_key& key) -> double;
+    auto update_quality_account(
         const account_key& key,
         const policy::choice& made,
         const std::vector<policy::option>& options,
         double target) -> void;
-    auto follow_rollouts(
+    auto apply_rollout_share(
         const inventory::state& current,
-        const version_question& question,
+        const version_query& query,
         const std::vector<const inventory::version*>& eligible,
         version_decision decision) const -> version_decision;
 
     version_policy_settings settings;
-    policy::quality_book quality;
-    control::awaiting_ratings awaiting;
-    control::evidence_source own_evidence;
-    control::evidence_board board;
+    policy::quality_tracker quality;
+    control::unrated_answers awaiting;
+    control::evidence_recorder own_evidence;
+    control::evidence_aggregator aggregator;
     control::rollout_controller rollouts;
     std::mutex lock;
-    std::map<account_key, policy::quality_account> accounts;
+    std::map<account_key, policy::quality_price_controller> accounts;
 };
 
 } // namespace reedramp::entry
--- a/source/core/platform/fake_platform.cpp
+++ b/source/core/platform/fake_platform.cpp
@@ -15,15 +15,15 @@
 
 } // namespace
 
-fake_hosts::fake_hosts(common::clock_hook given_clock, common::timer_hook given_timers)
-    : clock(std::move(given_clock)), timers(std::move(given_timers))
+fake_hosts::fake_hosts(common::clock_hook initial_clock, common::timer_hook initial_timers)
+    : clock(std::move(initial_clock)), timers(std::move(initial_timers))
 {
 }
 
 auto fake_hosts::hooks() -> host_hooks
 {
-    host_hooks made;
-    made.list = [this](answer_hook<std::vector<host_entry>> done) {
+    host_hooks result;
+    result.list = [this](answer_hook<std::vector<host_entry>> done) {
         this->timers(this->clock(), [this, done = std::move(done)] {
             if (this->down) {
                 done(failure(result_code::platform_unavailable, "the list of hosts is down"));
@@ -32,18 +32,18 @@
             done(this->visible());
         });
     };
-    return made;
+    return result;
 }
 
 auto fake_hosts::put(host_entry entry) -> void
 {
-    this->change_later(
+    this->apply_delayed(
         [this, entry = std::move(entry)] { this->entries.insert_or_assign(entry.host, entry); });
 }
 
 auto fake_hosts::remove(const common::host_id& host) -> void
 {
-    this->change_later([this, host] { this->entries.erase(host); });
+    this->apply_delayed([this, host] { this->entries.erase(host); });
 }
 
 auto fake_hosts::visible() const -> std::vector<host_entry>
@@ -56,7 +56,7 @@
     return rows;
 }
 
-auto fake_hosts::change_later(std::function<auto()->void> change) -> void
+auto fake_hosts::apply_delayed(std::function<auto()->void> change) -> void
 {
     if (this->lag == common::duration::zero()) {
         change();
@@ -66,18 +66,19 @@
 }
 
 fake_ratings::fake_ratings(
-    common::clock_hook given_clock, common::timer_hook given_timers, score_hook given_score)
-    : clock(std::move(given_clock)), timers(std::move(given_timers)), score(std::move(given_score))
+    common::clock_hook initial_clock, common::timer_hook initial_timers, score_hook initial_score)
+    : clock(std::move(initial_clock)), timers(std::move(initial_timers)),
+      score(std::move(initial_score))
 {
 }
 
 auto fake_ratings::hooks() -> rating_hooks
 {
-    rating_hooks made;
-    made.submit = [this](common::request_id request, std::string question, std::string answer) {
+    rating_hooks result;
+    result.submit = [this](common::request_id request, std::string question, std::string answer) {
         this->submit({request, std::move(question), std::move(answer)});
     };
-    made.fetch = [this](std::uint64_t since, answer_hook<rating_page> done) {
+    result.fetch = [this](std::uint64_t since, answer_hook<rating_page> done) {
         this->timers(this->clock(), [this, since, done = std::move(done)] {
             if (this->down) {
                 done(failure(result_code::platform_unavailable, "the rating service is down"));
@@ -86,7 +87,7 @@
             done(this->page_after(since));
         });
     };
-    return made;
+    return result;
 }
 
 auto fake_ratings::submit(rated_answer submitted_answer) -> void
@@ -95,12 +96,14 @@
         return;
     }
     ++this->submitted;
-    const auto given = this->score(submitted_answer);
-    if (!given) {
+    const auto score_value = this->score(submitted_answer);
+    if (!score_value) {
         return;
     }
-    const rating later{submitted_answer.request, std::clamp(*given, 0.0, 1.0)};
-    this->timers(this->clock() + this->delay, [this, later] { this->ratings.push_back(later); });
+    const rating delayed_rating{submitted_answer.request, std::clamp(*score_value, 0.0, 1.0)};
+    this->timers(this->clock() + this->delay, [this, delayed_rating] {
+        this->ratings.push_back(delayed_rating);
+    });
 }
 
 auto fake_ratings::page_after(std::uint64_t since) const -> rating_page
--- a/source/core/router/rollout_writer.cpp
+++ b/source/core/router/rollout_writer.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Between the first tries of two entries: a read and a write at a store that answers slowly.
+/// Delay between the first attempts of two entries: time for a read and a write at a slow store.
 constexpr std::chrono::milliseconds rank_delay{600};
-/// After a call that failed.
+/// Pause after a failed call.
 constexpr std::chrono::milliseconds pause{500};
 
 } // namespace
@@ -26,15 +26,15 @@
 auto rollout_writer::tick() -> void
 {
     const auto now = this->core->hooks.clock();
-    if (this->core->rollouts.due(now).empty()) {
+    if (this->core->rollouts.due_states(now).empty()) {
         this->due_since = common::never;
         return;
     }
     if (this->due_since == common::never) {
         this->due_since = now;
     }
-    const auto turn = this->due_since + rank_delay * static_cast<int>(this->rank());
-    if (this->is_busy || now < turn || now < this->next_try) {
+    const auto write_at = this->due_since + rank_delay * static_cast<int>(this->rank());
+    if (this->is_busy || now < write_at || now < this->next_try) {
         return;
     }
     this->is_busy = true;
@@ -43,7 +43,7 @@
 
 auto rollout_writer::read_then_write() -> void
 {
-    this->store.read_outcomes(
+    this->store.read_rollout_states(
         [self = this->shared_from_this()](
             const common::result<stream_reading<routing::rollout_status>>& reading) {
             if (!reading) {
@@ -52,7 +52,7 @@
                 return;
             }
             for (const auto& status : reading->documents) {
-                self->core->rollouts.learn(status);
+                self->core->rollouts.apply_status(status);
             }
             self->write(reading->end);
         });
@@ -60,13 +60,13 @@
 
 auto rollout_writer::write(stream_position at) -> void
 {
-    const auto due = this->core->rollouts.due(this->core->hooks.clock());
+    const auto due = this->core->rollouts.due_states(this->core->hooks.clock());
     if (due.empty()) {
         this->is_busy = false;
         return;
     }
     const auto& status = due.front();
-    this->store.write_outcome(
+    this->store.write_rollout_state(
         status,
         at,
         [self = this->shared_from_this(), status](const common::result<stream_position>& written) {
@@ -78,10 +78,10 @@
                     status.target.value() + " state=" + std::string{to_string(status.state)} +
                     " ok=" + (written ? "yes" : "no"));
             if (written) {
-                self->core->rollouts.learn(status);
+                self->core->rollouts.apply_status(status);
                 return;
             }
-            // Another entry was first, or the answer was lost: the next try reads again.
+            // Another entry was faster, or the response was lost. The next attempt reads again.
             self->next_try = self->core->hooks.clock() + pause;
         });
 }
--- a/source/core/routing/load_book.cpp
+++ b/source/core/routing/load_tracker.cpp
@@ -1,10 +1,10 @@
-#include "routing/load_book.hpp"
+#include "routing/load_tracker.hpp"
 
 #include <algorithm>
 
 namespace reedramp::routing {
 
-auto load_book::begin(const server_start& server, double work, double reading) -> void
+auto load_tracker::begin(const server_instance& server, double work, double reading) -> void
 {
     auto& load = this->ours[server];
     load.requests += 1.0;
@@ -12,7 +12,7 @@
     load.reading += reading;
 }
 
-auto load_book::end(const server_start& server, double work, double reading) -> void
+auto load_tracker::end(const server_instance& server, double work, double reading) -> void
 {
     const auto found = this->ours.find(server);
     if (found == this->ours.end()) {
@@ -21,13 +21,13 @@
     found->second.requests -= 1.0;
     found->second.work -= work;
     found->second.reading -= reading;
-    constexpr double none = 0.5; // Half a request: sums of fractions never end at zero.
+    constexpr double none = 0.5; // Half a request: sums of fractions never reach exactly zero.
     if (found->second.requests < none) {
         this->ours.erase(found);
     }
 }
 
-auto load_book::lighten(const server_start& server, double work) -> void
+auto load_tracker::reduce_work(const server_instance& server, double work) -> void
 {
     const auto found = this->ours.find(server);
     if (found != this->ours.end()) {
@@ -36,18 +36,18 @@
     }
 }
 
-auto load_book::add(const std::vector<told_load>& loads) const -> void
+auto load_tracker::add(const std::vector<load_report>& loads) const -> void
 {
     for (const auto& one : loads) {
         auto& sum = this->sums[one.server];
-        sum.words += 1;
+        sum.reports += 1;
         sum.load.requests += one.load.requests;
         sum.load.work += one.load.work;
         sum.load.reading += one.load.reading;
     }
 }
 
-auto load_book::take_off(const std::vector<told_load>& loads) const -> void
+auto load_tracker::subtract(const std::vector<load_report>& loads) const -> void
 {
     for (const auto& one : loads) {
         const auto found = this->sums.find(one.server);
@@ -55,8 +55,8 @@
             continue;
         }
         auto& sum = found->second;
-        sum.words -= 1;
-        if (sum.words == 0) {
+        sum.reports -= 1;
+        if (sum.reports == 0) {
             this->sums.erase(found);
             continue;
         }
@@ -66,36 +66,36 @@
     }
 }
 
-auto load_book::hear(
-    const common::host_id& peer, const std::vector<told_load>& loads, time_point trusted_until)
+auto load_tracker::apply_reports(
+    const common::host_id& peer, const std::vector<load_report>& loads, time_point trusted_until)
     -> void
 {
-    auto& words = this->peers[peer];
-    this->take_off(words.loads);
-    words = {trusted_until, loads};
-    this->add(words.loads);
+    auto& report = this->peers[peer];
+    this->subtract(report.loads);
+    report = {trusted_until, loads};
+    this->add(report.loads);
     this->next_expiry = std::min(this->next_expiry, trusted_until);
 }
 
-auto load_book::expire(time_point now) const -> void
+auto load_tracker::expire(time_point now) const -> void
 {
     if (now < this->next_expiry) {
         return;
     }
     this->next_expiry = common::never;
     for (auto each = this->peers.begin(); each != this->peers.end();) {
-        const auto& words = each->second;
-        if (words.trusted_until > now) {
-            this->next_expiry = std::min(this->next_expiry, words.trusted_until);
+        const auto& report = each->second;
+        if (report.trusted_until > now) {
+            this->next_expiry = std::min(this->next_expiry, report.trusted_until);
             ++each;
             continue;
         }
-        this->take_off(words.loads);
+        this->subtract(report.loads);
         each = this->peers.erase(each);
     }
 }
 
-auto load_book::total(const server_start& server, time_point now) const -> server_load
+auto load_tracker::total(const server_instance& server, time_point now) const -> server_load
 {
     this->expire(now);
     auto load = this->own(server);
@@ -108,15 +108,15 @@
     return load;
 }
 
-auto load_book::own(const server_start& server) const -> server_load
+auto load_tracker::own(const server_instance& server) const -> server_load
 {
     const auto found = this->ours.find(server);
     return found == this->ours.end() ? server_load{} : found->second;
 }
 
-auto load_book::tell() const -> std::vector<told_load>
+auto load_tracker::make_reports() const -> std::vector<load_report>
 {
-    std::vector<told_load> all;
+    std::vector<load_report> all;
     all.reserve(this->ours.size());
     for (const auto& [server, load] : this->ours) {
         all.push_back({hash_of(server), load});
--- /dev/null
+++ b/source/core/routing/server_speed_tracker.cpp
@@ -0,0 +1,89 @@
+#include "routing/server_speed_tracker.hpp"
+
+#include <algorithm>
+#include <cstdint>
+#include <vector>
+
+namespace reedramp::routing {
+
+namespace {
+
+/// Fixed cost of each request besides its tokens, in units of work: the network round trip and one
+/// step.
+constexpr double fixed_work = 500.0;
+/// Weight of a server's newest sample once it has enough of them. Prompts differ by factors of ten,
+/// and so do single samples.
+constexpr double memory = 0.08;
+/// Weight of the newest sample in the sums over all servers.
+constexpr double sum_memory = 0.02;
+/// Samples needed before a server's own speed is used.
+constexpr unsigned min_samples = 4;
+/// Bounds of the estimate. Servers of one service differ by no more than a third. A server that
+/// appears much faster was idle when it was used, or had the prompts cached; without a lower bound
+/// it attracted all new requests of an entry for a second, became slow, and the next server
+/// attracted them.
+constexpr double min_slowness = 0.7;
+constexpr double max_slowness = 10.0;
+
+} // namespace
+
+auto server_speed_tracker::add_sample(record& to, double sample, double weight_of_newest) -> void
+{
+    to.samples += 1;
+    // The first samples have equal weight; otherwise the very first one would dominate.
+    const auto weight = std::max(weight_of_newest, 1.0 / static_cast<double>(to.samples));
+    to.time_per_work += weight * (sample - to.time_per_work);
+}
+
+auto server_speed_tracker::note(
+    const server_instance& server, std::chrono::milliseconds took, double work) -> void
+{
+    const auto sample = static_cast<double>(took.count()) / (work + fixed_work);
+    add_sample(this->servers[server], sample, memory);
+    this->update_median();
+    constexpr double kept = 1.0 - sum_memory;
+    this->time_sum = this->time_sum * kept + static_cast<double>(took.count());
+    this->work_sum = this->work_sum * kept + work + fixed_work;
+}
+
+auto server_speed_tracker::expected(double work) const -> std::chrono::milliseconds
+{
+    const auto time_per_work = this->work_sum > 0.0 ? this->time_sum / this->work_sum : 0.0;
+    return std::chrono::milliseconds{
+        static_cast<std::int64_t>(time_per_work * (work + fixed_work))};
+}
+
+auto server_speed_tracker::slowness(const server_instance& server) const -> double
+{
+    const auto found = this->servers.find(server);
+    const bool is_known =
+        found != this->servers.end() && found->second.samples >= min_samples && this->median > 0.0;
+    if (!is_known) {
+        return 1.0;
+    }
+    return std::clamp(found->second.time_per_work / this->median, min_slowness, max_slowness);
+}
+
+auto server_speed_tracker::update_median() -> void
+{
+    std::vector<double> times;
+    for (const auto& [id, one] : this->servers) {
+        if (one.samples >= min_samples) {
+            times.push_back(one.time_per_work);
+        }
+    }
+    if (times.empty()) {
+        return;
+    }
+    const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
+    std::ranges::nth_element(times, middle);
+    this->median = *middle;
+}
+
+auto server_speed_tracker::forget_if(
+    const std::function<auto(const server_instance& server)->bool>& is_gone) -> void
+{
+    std::erase_if(this->servers, [&is_gone](const auto& item) { return is_gone(item.first); });
+}
+
+} // namespace reedramp::routing
--- a/source/entry/settings.hpp
+++ b/source/entry/settings.hpp
@@ -17,7 +17,7 @@
 
 namespace reedramp::entry_program {
 
-/// What an entry's settings file says, in the types that its parts take.
+/// The settings of an entry, converted to the types of its components.
 struct entry_settings {
     membership::location self;
     std::size_t threads = 2;
@@ -32,18 +32,18 @@
     std::chrono::milliseconds log_timeout{};
     std::vector<std::string> operator_key_hashes;
     session::key_ring session_keys;
-    std::chrono::milliseconds publish_limit{};
-    std::chrono::milliseconds shutdown_announce{};
-    std::chrono::milliseconds shutdown_limit{};
-    std::chrono::milliseconds bills_limit{};
-    std::size_t bills_bytes = 0;
+    std::chrono::milliseconds publish_timeout{};
+    std::chrono::milliseconds shutdown_announce_time{};
+    std::chrono::milliseconds shutdown_timeout{};
+    std::chrono::milliseconds bills_timeout{};
+    std::size_t pending_bills_limit_bytes = 0;
     entry::core_options core;
     entry::placer_settings placer;
 };
 
 auto settings_schema() -> settings::schema;
 
-/// Also reads the files of the keys. Errors: `invalid_settings`.
+/// Converts the settings and reads the key files. Errors: `invalid_settings`.
 auto read_settings(const settings::values& from) -> common::result<entry_settings>;
 
 } // namespace reedramp::entry_program
--- a/source/unit_tests/agent/program_test.cpp
+++ b/source/unit_tests/agent/program_test.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-/// Keeps the answer.
-class kept_answer final : public http::responder {
+/// Stores the response.
+class recording_responder final : public http::responder {
 public:
-    auto send(http::response answer) -> void override { this->sent = std::move(answer); }
+    auto send(http::response answer) -> void override { this->response = std::move(answer); }
 
     auto start(http::response) -> void override {}
 
@@ -38,12 +38,12 @@
 
     auto on_disconnect(std::function<auto()->void>) -> void override {}
 
-    http::response sent;
+    http::response response;
 };
 
 } // namespace
 
-TEST_CASE("The operations interface answers by table")
+TEST_CASE("The operations interface checks path, method, key and state")
 {
     struct row {
         const char* method;
@@ -55,7 +55,7 @@
         bool drains;
     };
 
-    const auto row_of_table = GENERATE(
+    const auto test_case = GENERATE(
         row{"GET", "/health/live", "", false, false, 200, false},
         row{"GET", "/health/ready", "", false, false, 503, false},
         row{"GET", "/health/ready", "", true, false, 200, false},
@@ -68,27 +68,27 @@
         row{"POST", "/drain", "Basic right", true, false, 403, false},
         row{"GET", "/drain", "Bearer right", true, false, 405, false},
         row{"POST", "/drain", "Bearer right", true, false, 200, true});
-    INFO(row_of_table.method << " " << row_of_table.target << " " << row_of_table.authorization);
+    INFO(test_case.method << " " << test_case.target << " " << test_case.authorization);
     bool drained = false;
     const operations_api api(
-        {[&] { return row_of_table.leaving; },
-         [&] { return row_of_table.ready; },
+        {[&] { return test_case.leaving; },
+         [&] { return test_case.ready; },
          [] { return std::string("series"); },
          [&] {
              drained = true;
          }},
         {inventory::sha256_hex("right")});
-    const auto out = std::make_shared<kept_answer>();
+    const auto out = std::make_shared<recording_responder>();
     http::request asked;
-    asked.method = row_of_table.method;
-    asked.target = row_of_table.target;
-    asked.headers.push_back({"authorization", row_of_table.authorization});
+    asked.method = test_case.method;
+    asked.target = test_case.target;
+    asked.headers.push_back({"authorization", test_case.authorization});
     api.handle(asked, out);
-    CHECK(out->sent.status == row_of_table.status);
-    CHECK(drained == row_of_table.drains);
+    CHECK(out->response.status == test_case.status);
+    CHECK(drained == test_case.drains);
 }
 
-TEST_CASE("An engine is to have what is listed for it and not withdrawn")
+TEST_CASE("The plan for an engine has its listed versions without withdrawn ones")
 {
     const common::server_id server{"s"};
     const common::version_id v1{"v1"};
@@ -106,18 +106,18 @@
     CHECK(plan_for(current, server).wanted.empty());
 }
 
-TEST_CASE("An agent that starts while the platform is down refuses, and ends when told")
+TEST_CASE("An agent that starts while the platform is down refuses requests and shuts down")
 {
-    // The caller is answered by another server. Log and list of hosts can't be reached: the agent
-    // takes a random incarnation, answers probes, refuses work for lack of a configuration, and a
-    // shutdown ends it without cutting anything.
+    // The log and the list of hosts are unreachable. The agent takes a random incarnation, answers
+    // probes, refuses requests for lack of a configuration, and a shutdown ends it without failed
+    // runs.
     agent_settings wanted;
     wanted.shared_key = "a key that tests share";
     wanted.rpc = {"127.0.0.1", 0};
     wanted.http = {"127.0.0.1", 0};
-    // Nothing listens on port 1.
+    // No process listens on port 1.
     wanted.backend = wanted.log = wanted.hosts = {"127.0.0.1", 1};
-    wanted.backend_idle = wanted.log_timeout = 1s;
+    wanted.backend_idle_timeout = wanted.log_timeout = 1s;
     wanted.registration_limit = 50ms;
     wanted.drain_limit = 10s;
     wanted.core.server = common::server_id{"s1"};
@@ -170,7 +170,7 @@
     CHECK_FALSE(daemon::read_secret("", "REEDRAMP_TEST_UNSET"));
 }
 
-TEST_CASE("The settings' defaults make sense together, and the key is not among them")
+TEST_CASE("The default settings are valid except for the shared key")
 {
     const auto parsed = settings::parse(settings_schema(), R"({
         "server": "s1", "host": "h1", "data_centre": "d1",
--- a/source/unit_tests/entry/admin_api_test.cpp
+++ b/source/unit_tests/entry/admin_api_test.cpp
@@ -1,25 +1,25 @@
 #include <catch2/catch.hpp>
 
+#include "core_fixture.hpp"
 #include "entry/admin_api.hpp"
 #include "inventory/hash.hpp"
-#include "world.hpp"
 
 namespace reedramp::entry::test {
 
 namespace {
 
-/// Answers each operator's wish, with a conflict for the record "late".
+/// Hooks that succeed, except that publishing the record "late" is a conflict.
 auto make_hooks() -> admin_hooks
 {
     admin_hooks hooks;
-    hooks.publish = [](const std::string& record, const text_answer_hook& done) {
+    hooks.publish = [](const std::string& record, const text_response_hook& done) {
         if (record == "late") {
             done(common::failure(common::result_code::conflict, "record r1 by ann came first"));
             return;
         }
         done(R"({"offset":7})");
     };
-    hooks.withdraw = [](const common::version_id& version, const text_answer_hook& done) {
+    hooks.withdraw = [](const common::version_id& version, const text_response_hook& done) {
         done("\"" + version.value() + "\"");
     };
     hooks.state = []() -> common::result<std::string> {
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("operators' requests are answered by the table", "[admin]")
+TEST_CASE("operators' requests get the expected status and problem", "[admin]")
 {
     struct row {
         std::string method;
@@ -72,9 +72,9 @@
     }
 }
 
-TEST_CASE("an entry explains its decisions, and an operator's key runs nothing", "[admin]")
+TEST_CASE("an entry explains its decisions, and an operator's key can't run requests", "[admin]")
 {
-    world test;
+    core_fixture test;
     test.operators = {inventory::sha256_hex("op")};
     test.restart();
     const auto caller = test.chat();
--- a/source/unit_tests/entry/core_faults_test.cpp
+++ b/source/unit_tests/entry/core_faults_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
+#include "core_fixture.hpp"
 #include "entry/recovery.hpp"
-#include "world.hpp"
 
 namespace reedramp::entry::test {
 
@@ -26,7 +26,7 @@
     return answer;
 }
 
-/// What an agent says that took the lost connection for a caller that left.
+/// The outcome reported by an agent that took the connection loss for a caller that disconnected.
 auto cancelled_as(outcome_state state) -> messages::outcome_answer
 {
     auto answer = outcome_of(state);
@@ -41,54 +41,59 @@
 
 } // namespace
 
-// The caller of a service waits; the connection to the agent is lost with the answer on it.
-// The entry asks the agent, which refuses what it does not know. Only that refusal, or a request
-// that may run twice, allows a second run; else the caller would get a doubled note.
-TEST_CASE("a lost answer is asked about", "[faults]")
+// The connection to the agent is lost while a response is in transit. The entry queries the agent
+// for the outcome, and the agent refuses a key that it doesn't know. A second run is allowed only
+// after that refusal or for an idempotent request; otherwise a note could be created twice.
+TEST_CASE("the outcome of a lost attempt is queried", "[faults]")
 {
     struct row {
         std::string name;
         std::string method;
         std::optional<common::result<messages::outcome_answer>> outcome;
         std::size_t runs;
-        /// Empty if the answer "kept" comes through.
+        /// Empty if the response "kept" is passed on.
         std::string problem;
         std::string execution;
     };
 
     const std::vector<row> rows{
-        {"it had finished", "POST", outcome_of(outcome_state::finished), 1, "", ""},
-        {"it was refused", "POST", outcome_of(outcome_state::refused), 2, "", ""},
-        {"it had failed", "POST", outcome_of(outcome_state::failed), 1, "server_lost", "ran"},
-        {"it goes on", "POST", outcome_of(outcome_state::running), 1, "outcome_unknown", "unknown"},
-        {"no agent", "POST", std::nullopt, 1, "outcome_unknown", "unknown"},
-        {"a new agent",
+        {"finished", "POST", outcome_of(outcome_state::finished), 1, "", ""},
+        {"refused", "POST", outcome_of(outcome_state::refused), 2, "", ""},
+        {"failed", "POST", outcome_of(outcome_state::failed), 1, "server_lost", "ran"},
+        {"still running",
+         "POST",
+         outcome_of(outcome_state::running),
+         1,
+         "outcome_unknown",
+         "unknown"},
+        {"agent unreachable", "POST", std::nullopt, 1, "outcome_unknown", "unknown"},
+        {"agent restarted",
          "POST",
          common::failure(result_code::wrong_incarnation),
          1,
          "outcome_unknown",
          "unknown"},
         {"cancelled before it ran", "POST", cancelled_as(outcome_state::refused), 2, "", ""},
-        {"cancelled in its run",
+        {"cancelled while running",
          "POST",
          cancelled_as(outcome_state::failed),
          1,
          "server_lost",
          "ran"},
-        {"cancelled, may run twice", "GET", cancelled_as(outcome_state::failed), 2, "", ""},
-        {"no agent, may run twice", "GET", std::nullopt, 2, "", ""},
-        {"it goes on, may run twice", "GET", outcome_of(outcome_state::running), 2, "", ""},
+        {"cancelled, idempotent", "GET", cancelled_as(outcome_state::failed), 2, "", ""},
+        {"agent unreachable, idempotent", "GET", std::nullopt, 2, "", ""},
+        {"still running, idempotent", "GET", outcome_of(outcome_state::running), 2, "", ""},
     };
     for (const auto& row : rows) {
         INFO(row.name);
-        world test;
+        core_fixture test;
         test.outcome = row.outcome;
         const auto caller = test.service(row.method);
         test.run(0).fail(result_code::server_lost, execution::unknown);
         test.time.run_for(std::chrono::seconds(row.runs == 2 ? 1 : 31));
         REQUIRE(test.runs.size() == row.runs);
-        REQUIRE_FALSE(test.asked.empty());
-        CHECK(test.asked[0].query.refuse_if_unknown);
+        REQUIRE_FALSE(test.outcome_queries.empty());
+        CHECK(test.outcome_queries[0].query.refuse_if_unknown);
         if (row.runs == 2) {
             CHECK(test.run(1).address == "b");
             CHECK(test.run(1).request.key.attempt.value() == 2);
@@ -103,11 +108,12 @@
     }
 }
 
-// An agent refuses with its hint, or can't be connected to. Nothing ran, so the entry tries others,
-// and when it gives up the caller hears so at once, truly `not_run` and with a time to come back.
-TEST_CASE("refusals are tried elsewhere, then told at once", "[faults]")
+// Agents refuse with a retry delay or can't be reached. Nothing has run, so the entry tries the
+// other servers. When all have refused, the caller gets the error immediately, with `not_run` and
+// the retry time.
+TEST_CASE("refused requests are tried on other servers, then refused immediately", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto start = test.time.now();
     const auto caller = test.service("POST");
     test.run(0).refuse(result_code::queue_full, std::chrono::seconds(7));
@@ -122,10 +128,11 @@
     CHECK(test.settled.requests == 0.0);
 }
 
-// One attempt of an idempotent call may have run, then all others refuse. `not_run` would be a lie.
-TEST_CASE("one unknown attempt makes the whole unknown", "[faults]")
+// One attempt of an idempotent call may have run, then all other servers refuse. Reporting
+// `not_run` would be wrong.
+TEST_CASE("one attempt of unknown outcome makes the request's execution unknown", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.service("GET");
     test.run(0).fail(result_code::server_lost, execution::unknown);
     REQUIRE(test.runs.size() == 2);
@@ -135,11 +142,12 @@
     CHECK(caller->execution() == "unknown");
 }
 
-// A chat's first attempt fails after it has begun; then its versions are withdrawn one after the
-// other, and no version is left to choose. The choice has seen no attempt; the request ran.
-TEST_CASE("a refusal by a filter that runs again counts the attempts before", "[faults]")
+// The first attempt of a chat fails after it has started. Then its versions are withdrawn one after
+// the other, until none can be chosen. The version filter knows no attempt, but the request has
+// run.
+TEST_CASE("a refusal by a filter that runs again takes earlier attempts into account", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat();
     test.run(0).fail(result_code::server_failed, execution::ran);
     test.run(1).refuse(result_code::version_withdrawn);
@@ -149,12 +157,12 @@
     CHECK(caller->execution() == "ran");
 }
 
-// A caller reads a stream; its engine is lost twice in the middle. Another server of the same
-// version goes on after the sent tokens; what the lost ones send late, or twice, is dropped. The
-// caller sees each token once, and the bill has a line for each attempt.
-TEST_CASE("a lost engine is replaced in mid-stream", "[faults]")
+// The engine of a stream is lost twice. Another server of the same version continues after the
+// tokens already sent; late or repeated tokens of the lost engines are dropped. The caller receives
+// each token once, and the bill has a line for each attempt.
+TEST_CASE("a stream continues on another server when its engine is lost", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat(streamed);
     test.run(0).tokens(0, 3);
     test.run(0).tokens(0, 3);
@@ -172,18 +180,18 @@
     test.run(1).tokens(5, 1);
     test.run(2).finish();
     CHECK(caller->streamed_text() == token_text(0, 10));
-    CHECK(caller->is_whole_stream());
+    CHECK(caller->is_complete_stream());
     CHECK(test.subject->counters().late_events == 4);
     REQUIRE(test.bills.size() == 1);
     REQUIRE(test.bills[0].lines.size() == 3);
     CHECK(test.bills[0].lines[1].used.completion_tokens.value() == 2);
 }
 
-// Tokens are missing in the middle of a stream. Passing on the rest would look whole; the attempt
-// is ended instead and another server goes on from the gap.
-TEST_CASE("a gap is never passed on", "[faults]")
+// Tokens are missing in the middle of a stream. Passing on the rest would look like a complete
+// response, so the attempt is cancelled and another server continues from the gap.
+TEST_CASE("tokens after a gap are never passed on", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat(streamed);
     test.run(0).tokens(0, 2);
     test.run(0).tokens(4, 2);
@@ -192,15 +200,15 @@
     test.run(1).tokens(2, 4);
     test.run(1).finish();
     CHECK(caller->streamed_text() == token_text(0, 6));
-    CHECK(caller->is_whole_stream());
+    CHECK(caller->is_complete_stream());
 }
 
-// Nobody can go on with a stream: no other server, or more text than is kept for it. The caller
-// gets an explicit error event, and never the end mark that would make the answer look whole.
-TEST_CASE("a stream that can not go on ends with an error event", "[faults]")
+// No server can continue a stream: there is no other one, or more text was sent than is kept. The
+// caller gets an error event and never the end marker of a complete response.
+TEST_CASE("a stream that can't be continued ends with an error event", "[faults]")
 {
     for (const auto text_limit : {std::size_t{1000}, std::size_t{4}}) {
-        world test;
+        core_fixture test;
         test.options.sent_text_limit_bytes = text_limit;
         test.restart();
         if (text_limit == 1000) {
@@ -211,17 +219,18 @@
         test.run(0).fail(result_code::server_failed, execution::ran);
         CHECK(test.runs.size() == 1);
         CHECK(caller->finished);
-        CHECK_FALSE(caller->is_whole_stream());
+        CHECK_FALSE(caller->is_complete_stream());
         CHECK(caller->problem_name() == "server_failed");
         CHECK(caller->execution() == "ran");
         CHECK(test.bills.size() == 1);
     }
 }
 
-// Two copies of a request come with one key. The claim decides: the earlier one's kept answer,
-// `still_running`, another body, or no claim at all. None of these sends anything, and a kept
-// answer is billed under the first copy's id, so that readers count it once.
-TEST_CASE("a key that is taken sends nothing", "[faults]")
+// A second copy of a request arrives with the same key. The claim yields the stored response of the
+// first copy, `still_running`, a conflict with another body, or no decision. In none of these cases
+// is anything dispatched. A stored response is billed under the first copy's id, so that readers
+// count it once.
+TEST_CASE("a request whose key is already claimed is not dispatched", "[faults]")
 {
     messages::claim_request holder;
     holder.request = {7, 7};
@@ -230,7 +239,7 @@
     gone.finished.reset();
 
     struct row {
-        claims::claim_end end;
+        claims::claim_result end;
         std::string problem;
         std::string execution;
         std::size_t bills;
@@ -255,8 +264,8 @@
     };
     for (const auto& row : rows) {
         INFO(row.problem);
-        world test;
-        test.claim_end = row.end;
+        core_fixture test;
+        test.claim_result = row.end;
         const auto caller = test.service("POST", key_header());
         CHECK(test.runs.empty());
         CHECK(caller->answers == 1);
@@ -270,11 +279,12 @@
     }
 }
 
-// The claim names the agent. When that agent refuses, the next try needs a second claim that
-// replaces the first, before anything is sent; else a retry elsewhere would not find this run.
-TEST_CASE("a claim comes before each try", "[faults]")
+// A claim names the target agent. When that agent refuses, the next attempt needs a second claim
+// that replaces the first before anything is sent. Otherwise a retry through another entry would
+// not find this run.
+TEST_CASE("each attempt is claimed before it is sent", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.service("POST", key_header());
     REQUIRE(test.claims.size() == 1);
     CHECK(test.claims[0].server.value() == "a");
@@ -287,17 +297,17 @@
     test.run(1).finish("kept");
     CHECK(caller->body == "kept");
 
-    // With the log down, what may run twice goes on without a claim.
-    test.claim_end = claims::claim_refused{common::make_error(result_code::claims_unavailable)};
+    // While the log is down, an idempotent request proceeds without a claim.
+    test.claim_result = claims::claim_refused{common::make_error(result_code::claims_unavailable)};
     test.service("GET", key_header());
     CHECK(test.runs.size() == 3);
 }
 
-// A version is withdrawn while a session is open on it, seen first by the entry or only by the
-// agent. The session ends with a true `not_run`; a request without a session takes another version.
-TEST_CASE("a withdrawn version takes no new work", "[faults]")
+// A version is withdrawn while a session is open on it, which the entry or only the agent has
+// learned. The session ends with `not_run`; a request without a session uses another version.
+TEST_CASE("a withdrawn version gets no new work", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto token = test.session_token("s2");
     const auto refused = test.chat("", {{"Reedramp-Session", token}});
     test.run(0).refuse(result_code::version_withdrawn);
@@ -319,11 +329,11 @@
     CHECK(test.run(3).request.version.value() == "s1");
 }
 
-// The configuration is too old to know whether a sensitive version may serve. New sessions go to
-// what is stable; a session that is pinned to it goes on.
-TEST_CASE("a stale configuration opens nothing new on a sensitive version", "[faults]")
+// The configuration is too old to tell whether a sensitive version may serve. New requests use
+// versions that are not sensitive; a session already pinned to the sensitive version continues.
+TEST_CASE("with a stale configuration, a sensitive version gets no new requests", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.change([](auto& state) { state.versions[common::version_id("s2")].sensitive = true; });
     test.current_until = test.time.now() - std::chrono::seconds(1);
     test.chat();
@@ -339,10 +349,11 @@
     CHECK(named->problem_name() == "stale_configuration");
 }
 
-// A session's version has no server for a while. It waits, since it can't move, and is then served.
+// The version of a session has no server for a while. The request waits, since a session can't move
+// to another version, and is then served.
 TEST_CASE("a session waits for a server of its version", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.servers.clear();
     const auto caller = test.chat("", {{"Reedramp-Session", test.session_token("s2")}});
     CHECK(test.chat()->problem_name() == "no_capacity");
@@ -353,11 +364,11 @@
     CHECK(test.runs.size() == 1);
 }
 
-// The caller's deadline passes while an agent is silent. The answer comes then, not later, and
-// says `unknown`; the run is cancelled and billed by what the agent says it used.
-TEST_CASE("a deadline ends a request once", "[faults]")
+// The caller's deadline passes while an agent is silent. The caller gets its error then, with
+// `unknown`; the run is cancelled and billed with the usage that the agent reports.
+TEST_CASE("a request is answered once when its deadline passes", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.outcome = outcome_of(outcome_state::failed);
     const auto caller = test.chat("", {{"Reedramp-Deadline-Ms", "500"}});
     CHECK(test.run(0).request.time_left == std::chrono::milliseconds(500));
@@ -371,11 +382,11 @@
     CHECK(test.bills[0].lines[0].used.completion_tokens.value() == 2);
 }
 
-// A caller stops reading. The source is paused once the backlog is high and goes on when it has
-// been sent, so that memory stays bounded; one that never reads is cut.
-TEST_CASE("a slow caller holds its source back", "[faults]")
+// A caller stops reading. The run is paused while the backlog is high and resumed when it has been
+// sent, so that memory stays bounded. A caller that never reads is disconnected.
+TEST_CASE("a slow caller causes backpressure on its run", "[faults]")
 {
-    world test;
+    core_fixture test;
     test.options.backlog_high_bytes = 400;
     test.options.backlog_limit_bytes = 4000;
     test.restart();
@@ -395,14 +406,14 @@
     CHECK(test.subject->counters().in_flight == 0);
 }
 
-// The caller closes its connection. The engine's run is cancelled at once, and the request is
+// The caller closes its connection. The engine's run is cancelled immediately, and the request is
 // billed once.
-TEST_CASE("a caller that leaves cancels its run", "[faults]")
+TEST_CASE("a disconnected caller's run is cancelled", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto caller = test.chat(streamed);
     test.run(0).tokens(0, 3);
-    caller->leave();
+    caller->disconnect();
     CHECK(test.run(0).cancelled);
     test.run(0).tokens(3, 3);
     test.time.run_for(std::chrono::seconds(1));
@@ -411,12 +422,12 @@
     CHECK(test.bills[0].lines[0].used.completion_tokens.value() == 3);
 }
 
-// An entry has its configuration before it has seen its servers in the list of hosts. The balancer
-// must not send it requests yet, since it could place none of them; what comes all the same is
-// still answered, and readiness follows as soon as the servers are known.
+// An entry has read its configuration but not yet seen its servers in the host list. It must not be
+// ready, since it could not place requests. Requests that arrive nevertheless are answered, and the
+// entry becomes ready once the servers are known.
 TEST_CASE("an entry that knows no servers is not ready", "[faults]")
 {
-    world test;
+    core_fixture test;
     CHECK(test.subject->ready());
     test.knows_servers = false;
     CHECK_FALSE(test.subject->ready());
@@ -426,18 +437,19 @@
     CHECK(test.call({"GET", "/health/ready", {}, "", {}})->head.status == 200);
 }
 
-// An entry shuts down during two streams. Readiness is off at once; a stream finishes whole, and so
-// does a request that comes late on an open connection. What is left at the deadline is cut with an
-// error event and counted, and from then on all is refused `not_run`.
-TEST_CASE("a graceful shutdown lets requests finish until its deadline", "[faults]")
+// An entry shuts down during two streams. It stops being ready immediately; a stream completes, and
+// so does a request that arrives on an open connection. Requests still in flight at the deadline
+// are aborted with an error event and counted, and later ones are refused with `not_run`.
+TEST_CASE("a graceful shutdown lets requests complete until its deadline", "[faults]")
 {
-    world test;
+    core_fixture test;
     const auto first = test.chat(streamed);
     const auto second = test.chat(streamed);
     test.run(1).tokens(0, 1);
-    std::optional<std::size_t> cut;
+    std::optional<std::size_t> aborted_count;
     test.subject->shut_down(
-        test.time.now() + std::chrono::seconds(10), [&cut](std::size_t count) { cut = count; });
+        test.time.now() + std::chrono::seconds(10),
+        [&aborted_count](std::size_t count) { aborted_count = count; });
     CHECK_FALSE(test.subject->ready());
     CHECK(test.call({"GET", "/health/ready", {}, "", {}})->head.status == 503);
     const auto late = test.chat();
@@ -445,12 +457,12 @@
     CHECK(late->head.status == 200);
     test.run(0).tokens(0, 2);
     test.run(0).finish();
-    CHECK(first->is_whole_stream());
-    CHECK_FALSE(cut.has_value());
+    CHECK(first->is_complete_stream());
+    CHECK_FALSE(aborted_count.has_value());
     test.time.run_for(std::chrono::seconds(11));
-    CHECK(cut == 1);
+    CHECK(aborted_count == 1);
     CHECK(second->problem_name() == "shutting_down");
-    CHECK_FALSE(second->is_whole_stream());
+    CHECK_FALSE(second->is_complete_stream());
     const auto refused = test.chat();
     CHECK(refused->problem_name() == "shutting_down");
     CHECK(refused->execution() == "not_run");
@@ -458,11 +470,11 @@
     CHECK(test.bills.size() == 3);
 }
 
-// All servers refuse everything. Retries stop at the budget, so that the overload does not grow by
-// the number of attempts.
+// All servers refuse all requests. The retry budget bounds the retries, so that they don't multiply
+// the overload.
 TEST_CASE("retries stay within the budget", "[faults]")
 {
-    world test;
+    core_fixture test;
     constexpr std::size_t calls = 200;
     for (std::size_t index = 0; index < calls; ++index) {
         const auto caller = test.service("POST");
@@ -474,44 +486,44 @@
     const auto budget = test.options.retries;
     CHECK(
         static_cast<double>(test.runs.size() - calls) <=
-        budget.most_saved + budget.retries_per_first_try * calls);
+        budget.max_saved + budget.retries_per_first_try * calls);
 }
 
-TEST_CASE("a second attempt needs a proof or a request that may run twice", "[recovery]")
+TEST_CASE("a retry requires proof that nothing ran, or an idempotent request", "[recovery]")
 {
     using messages::repeat_rule;
     const auto now = common::time_point(std::chrono::seconds(100));
 
     struct row {
-        attempt_fate fate;
+        attempt_failure failure;
         repeat_rule repeat;
         result_code code;
-        recovery_step step;
+        recovery_action step;
     };
 
     const auto once = repeat_rule::at_most_once;
     const auto twice = repeat_rule::idempotent;
     const std::vector<row> rows{
-        {attempt_fate::refused, once, result_code::queue_full, recovery_step::try_again},
-        {attempt_fate::never_sent, once, result_code::peer_unavailable, recovery_step::try_again},
-        {attempt_fate::failed, once, result_code::server_failed, recovery_step::give_up},
-        {attempt_fate::unknown, once, result_code::server_lost, recovery_step::give_up},
-        {attempt_fate::failed, twice, result_code::server_failed, recovery_step::try_again},
-        {attempt_fate::unknown, twice, result_code::server_lost, recovery_step::try_again},
-        {attempt_fate::refused, twice, result_code::unknown_model, recovery_step::give_up},
+        {attempt_failure::refused, once, result_code::queue_full, recovery_action::retry},
+        {attempt_failure::never_sent, once, result_code::peer_unavailable, recovery_action::retry},
+        {attempt_failure::failed, once, result_code::server_failed, recovery_action::give_up},
+        {attempt_failure::unknown, once, result_code::server_lost, recovery_action::give_up},
+        {attempt_failure::failed, twice, result_code::server_failed, recovery_action::retry},
+        {attempt_failure::unknown, twice, result_code::server_lost, recovery_action::retry},
+        {attempt_failure::refused, twice, result_code::unknown_model, recovery_action::give_up},
     };
     for (const auto& row : rows) {
-        recovery_facts facts;
-        facts.fate = row.fate;
+        recovery_input facts;
+        facts.failure = row.failure;
         facts.repeat = row.repeat;
         facts.code = row.code;
         facts.attempt_limit = 4;
         facts.now = now;
-        facts.ask_until = now;
+        facts.query_until = now;
         facts.deadline = now + std::chrono::seconds(1);
-        CHECK(next_step(facts) == row.step);
+        CHECK(choose_recovery(facts) == row.step);
         facts.deadline = now;
-        CHECK(next_step(facts) == recovery_step::give_up);
+        CHECK(choose_recovery(facts) == recovery_action::give_up);
     }
 }
 
--- a/source/unit_tests/entry/core_threads_test.cpp
+++ b/source/unit_tests/entry/core_threads_test.cpp
@@ -5,13 +5,14 @@
 #include <mutex>
 #include <thread>
 
-#include "world.hpp"
+#include "core_fixture.hpp"
 
 namespace reedramp::entry::test {
 
 namespace {
 
-/// Runs actions on threads of its own, in any order; the agents and the callers' sockets.
+/// Runs actions in any order on its own threads, which stand for the agents and the callers'
+/// sockets.
 class workers {
 public:
     explicit workers(std::size_t count)
@@ -28,7 +29,7 @@
         this->changed.notify_one();
     }
 
-    /// Runs what is left and ends.
+    /// Runs the remaining actions, then joins the threads.
     auto join() -> void
     {
         {
@@ -65,7 +66,7 @@
     std::vector<std::thread> threads;
 };
 
-/// A caller that only counts; its calls come from several threads, one at a time.
+/// A responder that counts the ended responses. It is called from several threads, one at a time.
 class counting_caller final : public http::responder {
 public:
     explicit counting_caller(std::atomic<int>& total) : ended(total) {}
@@ -88,10 +89,10 @@
 
     auto on_disconnect(std::function<auto()->void> action) -> void override
     {
-        this->left = std::move(action);
+        this->disconnected = std::move(action);
     }
 
-    std::function<auto()->void> left;
+    std::function<auto()->void> disconnected;
 
 private:
     std::atomic<int>& ended;
@@ -99,42 +100,43 @@
 
 } // namespace
 
-// Callers, agents and disconnects act from different threads at once. Each request must still be
-// answered or left once, and billed once. Run under TSan, it shows state touched by two threads.
-TEST_CASE("requests are answered and billed once under several threads", "[threads]")
+// Callers, agents and disconnects act concurrently on different threads. Each request must be
+// answered at most once and billed exactly once. Under TSan, the test also detects unsynchronised
+// access.
+TEST_CASE("requests are answered and billed once on several threads", "[threads]")
 {
     constexpr int callers = 4;
     constexpr int calls = 200;
-    world test;
+    core_fixture test;
     workers agents(3);
     std::atomic<int> ended{0};
     std::atomic<int> bills{0};
-    auto parts = test.hooks();
-    parts.timer = [](common::time_point, const std::function<auto()->void>&) {
+    auto hooks = test.hooks();
+    hooks.timer = [](common::time_point, const std::function<auto()->void>&) {
     };
-    parts.random = [state = std::make_shared<std::atomic<std::uint64_t>>(1)] {
+    hooks.random = [state = std::make_shared<std::atomic<std::uint64_t>>(1)] {
         return state->fetch_add(1) * 0x9e3779b97f4a7c15ULL;
     };
-    parts.agents.run = [&](const auto&, const messages::run_request&, messages::run_sink sink) {
+    hooks.agents.run = [&](const auto&, const messages::run_request&, messages::run_sink sink) {
         agents.post([sink] {
             sink(messages::tokens_event{0, 2, "t0 t1 "});
             sink(messages::finished_event{});
         });
         return std::make_shared<fake_run>();
     };
-    parts.agents.ask =
+    hooks.agents.ask =
         [&](const auto&, const auto&, messages::answer_hook<messages::outcome_answer> done) {
             agents.post([done] { done(common::failure(common::result_code::peer_unavailable)); });
         };
-    parts.settle_limits = nullptr;
-    parts.take_limits = nullptr;
-    parts.bill = [&](const messages::bill&) {
+    hooks.settle_limits = nullptr;
+    hooks.reserve_limits = nullptr;
+    hooks.add_bill = [&](const messages::bill&) {
         ++bills;
     };
-    const auto subject = core::create({}, parts, {});
+    const auto subject = core::create({}, hooks, {});
     std::vector<std::thread> threads;
     threads.reserve(callers);
-    std::atomic<int> left{0};
+    std::atomic<int> disconnects{0};
     for (int index = 0; index < callers; ++index) {
         threads.emplace_back([&] {
             for (int call = 0; call < calls; ++call) {
@@ -147,8 +149,8 @@
                      {}},
                     caller);
                 if (call % 4 == 0) {
-                    agents.post(caller->left);
-                    ++left;
+                    agents.post(caller->disconnected);
+                    ++disconnects;
                 }
             }
         });
@@ -158,7 +160,7 @@
     }
     agents.join();
     CHECK(ended <= callers * calls);
-    CHECK(ended >= callers * calls - left);
+    CHECK(ended >= callers * calls - disconnects);
     CHECK(bills == callers * calls);
     CHECK(subject->counters().in_flight == 0);
 }
--- a/source/unit_tests/policy/chooser_test.cpp
+++ b/source/unit_tests/policy/option_choice_test.cpp
@@ -1,4 +1,4 @@
-#include "policy/chooser.hpp"
+#include "policy/option_choice.hpp"
 
 #include <random>
 
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("the cheapest option whose lower bound meets the target is taken")
+TEST_CASE("the cheapest option whose lower bound meets the target is chosen")
 {
     const std::vector<option> options{
         make_option(key("small"), 10, 0.60, 0.70),
@@ -48,12 +48,22 @@
     };
 
     const std::vector<row> rows{
-        {"cheap suffices", 0.55, true, 1, key("small"), choice_reason::cheapest_at_target},
-        {"middle needed", 0.75, true, 1, key("middle"), choice_reason::cheapest_at_target},
-        {"cascade pays", 0.85, true, 1, key("small", "large"), choice_reason::cheapest_at_target},
+        {"the cheapest suffices", 0.55, true, 1, key("small"), choice_reason::cheapest_at_target},
+        {"the middle one is needed",
+         0.75,
+         true,
+         1,
+         key("middle"),
+         choice_reason::cheapest_at_target},
+        {"a cascade is cheaper",
+         0.85,
+         true,
+         1,
+         key("small", "large"),
+         choice_reason::cheapest_at_target},
         {"no cascade allowed", 0.85, false, 1, key("large"), choice_reason::cheapest_at_target},
-        {"none is sure", 0.93, true, 1, key("large"), choice_reason::best_available},
-        {"explores the cheaper", 0.82, true, 0, key("middle"), choice_reason::exploring},
+        {"no option meets the target", 0.93, true, 1, key("large"), choice_reason::best_available},
+        {"explores a cheaper option", 0.82, true, 0, key("middle"), choice_reason::exploring},
         {"nothing to explore", 0.75, true, 0, key("middle"), choice_reason::cheapest_at_target},
     };
     for (const auto& each : rows) {
@@ -70,7 +80,7 @@
     }
 }
 
-TEST_CASE("ceiling and time left exclude options")
+TEST_CASE("the price ceiling and the time left exclude options")
 {
     const std::vector<option> options{make_option(key("large"), 90, 0.9, 0.95)};
     choice_input input;
@@ -86,46 +96,46 @@
 TEST_CASE("a growing share only adds sessions")
 {
     for (std::uint64_t hash = 0; hash < 5000; hash += 7) {
-        if (in_share(hash, common::permille(50))) {
-            CHECK(in_share(hash, common::permille(200)));
+        if (is_in_rollout_share(hash, common::permille(50))) {
+            CHECK(is_in_rollout_share(hash, common::permille(200)));
         }
-        CHECK_FALSE(in_share(hash, common::permille(0)));
-        CHECK(in_share(hash, common::permille(1000)));
+        CHECK_FALSE(is_in_rollout_share(hash, common::permille(0)));
+        CHECK(is_in_rollout_share(hash, common::permille(1000)));
     }
 }
 
-TEST_CASE("estimates tighten with ratings and notice drift")
+TEST_CASE("quality estimates narrow with ratings and detect drift")
 {
-    quality_book book{quality_options{}};
+    quality_tracker tracker{quality_options{}};
     const common::task_name task("tagging");
-    book.set_prior(key("small"), task, 0.9);
-    CHECK(book.estimate(key("small"), task).mean == Approx(0.9));
+    tracker.set_prior(key("small"), task, 0.9);
+    CHECK(tracker.estimate(key("small"), task).mean == Approx(0.9));
 
     std::mt19937_64 random(3);
     std::normal_distribution<double> good(0.8, 0.1);
     for (int i = 0; i < 2000; ++i) {
-        CHECK_FALSE(book.add(key("small"), task, good(random)));
+        CHECK_FALSE(tracker.add(key("small"), task, good(random)));
     }
-    const auto before = book.estimate(key("small"), task);
+    const auto before = tracker.estimate(key("small"), task);
     CHECK(before.mean == Approx(0.8).margin(0.02));
     CHECK(before.upper - before.lower < 0.02);
 
     std::normal_distribution<double> bad(0.5, 0.1);
     bool noticed = false;
     for (int i = 0; i < 60; ++i) {
-        noticed = book.add(key("small"), task, bad(random)) || noticed;
+        noticed = tracker.add(key("small"), task, bad(random)) || noticed;
     }
     CHECK(noticed);
-    CHECK(book.estimate(key("small"), task).upper < 0.75);
+    CHECK(tracker.estimate(key("small"), task).upper < 0.75);
 }
 
-TEST_CASE("the account lets a cheap and a dear option alternate until their mean meets the target")
+TEST_CASE("the price controller alternates between options so that their mean meets the target")
 {
     const std::vector<option> options{
         make_option(key("small"), 10, 0.70, 0.72),
         make_option(key("large"), 90, 0.90, 0.92),
     };
-    quality_account account;
+    quality_price_controller controller;
     double quality = 0.0;
     double cost = 0.0;
     constexpr int requests = 2000;
@@ -133,11 +143,11 @@
         choice_input input;
         input.options = options;
         input.quality_target = 0.8;
-        input.quality_price = account.price();
+        input.quality_price = controller.price();
         const auto made = choose(input);
         REQUIRE(made);
         const auto& taken = made->key == key("small") ? options[0] : options[1];
-        account.book(taken.quality, input.quality_target, options[1].expected_cost);
+        controller.update(taken.quality, input.quality_target, options[1].expected_cost);
         quality += taken.quality.lower / requests;
         cost += static_cast<double>(taken.expected_cost.value()) / requests;
     }
