--- a/source/core/router/crash_broadcaster.cpp
+++ b/source/core/router/crash_broadcaster.cpp
@@ -116,15 +116,15 @@
             continue;
         }
         this->hooks.is_reachable(*known, [weak = this->weak_from_this(), start](bool listens) {
-            const auto courier = weak.lock();
-            if (courier == nullptr) {
+            const auto broadcaster = weak.lock();
+            if (broadcaster == nullptr) {
                 return;
             }
             if (listens) {
-                courier->core->crashes.note_alive(start);
+                broadcaster->core->crashes.note_alive(start);
             }
             else {
-                courier->core->crashes.note_down(start, courier->core->hooks.clock());
+                broadcaster->core->crashes.note_down(start, broadcaster->core->hooks.clock());
             }
         });
     }
@@ -149,7 +149,7 @@
 
 auto crash_broadcaster::receive(std::string_view datagram) -> void
 {
-    const auto update = decode_crash_news(datagram);
+    const auto update = decode_crash_update(datagram);
     if (!update) {
         return;
     }
--- a/source/core/router/crash_update.cpp
+++ b/source/core/router/crash_update.cpp
@@ -104,7 +104,7 @@
     return datagram.starts_with(datagram_prefix);
 }
 
-auto decode_crash_news(std::string_view bytes) -> common::result<crash_update>
+auto decode_crash_update(std::string_view bytes) -> common::result<crash_update>
 {
     crash_update update;
     const bool is_read = is_crash_update(bytes) && read_flat<schema::CrashNews>(
--- a/source/core/router/crash_update.hpp
+++ b/source/core/router/crash_update.hpp
@@ -28,6 +28,6 @@
 auto is_crash_update(std::string_view datagram) -> bool;
 
 /// Error `malformed_request` if `bytes` is not a valid update.
-auto decode_crash_news(std::string_view bytes) -> common::result<crash_update>;
+auto decode_crash_update(std::string_view bytes) -> common::result<crash_update>;
 
 } // namespace reedramp::router
--- a/source/core/routing/stream_position.hpp
+++ b/source/core/routing/stream_position.hpp
@@ -18,7 +18,7 @@
     constexpr stream_position() = default;
 
     /// From the number that entries send.
-    constexpr explicit stream_position(std::uint64_t told) : number(told) {}
+    constexpr explicit stream_position(std::uint64_t packed) : number(packed) {}
 
     static constexpr auto at(std::uint64_t era, std::uint64_t offset) -> stream_position
     {
--- a/source/router/peer_group.cpp
+++ b/source/router/peer_group.cpp
@@ -245,9 +245,9 @@
             this->add(*where);
         }
     }
-    const router::stream_position told_to{report->freshness.changed};
-    this->core->note_era(told_to, report->host.value());
-    if (told_to.era() < this->core->era()) {
+    const router::stream_position report_position{report->freshness.changed};
+    this->core->note_era(report_position, report->host.value());
+    if (report_position.era() < this->core->era()) {
         // The restored store may lack these states.
         for (auto& rollout : report->rollouts) {
             rollout.is_written = false;
--- a/source/unit_tests/router/peer_report_test.cpp
+++ b/source/unit_tests/router/peer_report_test.cpp
@@ -144,13 +144,13 @@
         CHECK(is_crash_update(bytes));
         CHECK(bytes.size() <= 1400);
         CHECK(!decode_peer_report(bytes));
-        const auto part = decode_crash_news(bytes);
+        const auto part = decode_crash_update(bytes);
         REQUIRE(part);
         CHECK(part->host == update.host);
         read.lost.insert(read.lost.end(), part->lost.begin(), part->lost.end());
         read.served.insert(read.served.end(), part->served.begin(), part->served.end());
         read.barred.insert(read.barred.end(), part->barred.begin(), part->barred.end());
-        CHECK(!decode_crash_news(bytes.substr(0, bytes.size() / 2)));
+        CHECK(!decode_crash_update(bytes.substr(0, bytes.size() / 2)));
     }
     REQUIRE(read.lost.size() == 100);
     CHECK(read.lost.back().fingerprint == routing::request_fingerprint{100});
@@ -162,7 +162,7 @@
     REQUIRE(read.barred.size() == 1);
     CHECK(read.barred.front().unseen == std::chrono::milliseconds{9});
     CHECK(encode_datagrams({update.host, {}, {}, {}, 0}).empty());
-    CHECK(!decode_crash_news("no message"));
+    CHECK(!decode_crash_update("no message"));
 }
 
 TEST_CASE("reports on servers that left and ended have a bounded size", "[peer_message]")
